--- a/bench/load/baselines.py
+++ b/bench/load/baselines.py
@@ -42,10 +42,10 @@
         for name in self._slots:
             self._mine.setdefault(name, 0)
 
-    def heard_report(self, report: LoadReport) -> None:
+    def update_backend_load(self, report: LoadReport) -> None:
         """Ignore load reports."""
 
-    def heard_regions(self, loads: Iterable[RegionLoad]) -> None:
+    def update_region_loads(self, loads: Iterable[RegionLoad]) -> None:
         """Ignore other regions."""
 
     def offer(self, job: Job, now: int) -> Decision | None:
@@ -70,7 +70,7 @@
             job = self._queue.popleft()
             if job.id in self._gone:
                 continue
-            if job.deadline <= now:
+            if job.deadline_ms <= now:
                 decisions.append(Refuse(job, ErrorKind.DEADLINE, Reason.DEADLINE, 0))
             else:
                 decisions.append(self._start(job, self._choose(free)))
@@ -83,12 +83,12 @@
     def first_token(self, job: Job, backend: str, now: int) -> None:
         """Learn nothing."""
 
-    def finished(self, job: Job, backend: str, now: int, outcome: Outcome, used: int) -> None:
+    def run_ended(self, job: Job, backend: str, now: int, outcome: Outcome, used: int) -> None:
         """Free the slot."""
         if self._running.pop(job.id, None) is not None:
             self._mine[backend] -= 1
 
-    def done(self, job: Job, now: int) -> None:
+    def call_ended(self, job: Job, now: int) -> None:
         """Take out a job whose caller has left."""
         self._gone.add(job.id)
 
--- a/bench/load/many_vms.py
+++ b/bench/load/many_vms.py
@@ -17,8 +17,8 @@
 from typing import TYPE_CHECKING
 
 from hickorybeam.model.routing import PromptPart, RegisteredServer
-from hickorybeam.policy.server_choice import PrefixMemory, ServerStanding, choose_server
-from hickorybeam.policy.stale_load import RecentWork
+from hickorybeam.policy.server_choice import PrefixCacheEstimate, ServerState, choose_server
+from hickorybeam.policy.stale_load import WorkRate
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -78,7 +78,7 @@
 
     def __init__(self, pattern: Pattern) -> None:
         self.standings = [
-            ServerStanding(
+            ServerState(
                 RegisteredServer(
                     id=f"s{number}",
                     service="m",
@@ -91,7 +91,7 @@
             for number in range(pattern.servers)
         ]
         self.told = [(0, 0)] * pattern.servers
-        self.recent = RecentWork()
+        self.recent = WorkRate()
 
 
 class Engine:
@@ -100,7 +100,7 @@
     def __init__(self) -> None:
         self.running: list[Run] = []
         self.queue: deque[Run] = deque()
-        self.cache = PrefixMemory()
+        self.cache = PrefixCacheEstimate()
         self.stepping = False
 
 
@@ -172,17 +172,17 @@
         found = choose_server(
             open_to,
             parts=run.parts,
-            tokens=0,
+            prompt_tokens=0,
             now_ms=now,
             rng=self.rng,
-            unseen_ms=vm.recent.rate(now) * (len(self.vms) - 1) * self.pattern.word_every_ms,
+            unreported_ms=vm.recent.rate(now) * (len(self.vms) - 1) * self.pattern.word_every_ms,
         )
         if found is not None:
             self.take(run, found)
         elif self.now - run.began < ROOM_WAIT_MS and len(run.tried) < MOST_SENDS:
             self.at(self.now + LOOK_AGAIN_MS, lambda: self.send(run))
 
-    def take(self, run: Run, standing: ServerStanding) -> None:
+    def take(self, run: Run, standing: ServerState) -> None:
         """Let an engine take or reject it."""
         run.server = run.vm.standings.index(standing)
         engine = self.engines[run.server]
@@ -191,11 +191,11 @@
             run.tried.add(run.server)
             self.at(self.now + 1, lambda: self.send(run))
             return
-        run.missing = standing.memory.missing(run.parts)
-        standing.memory.sent(run.parts, CACHE_TOKENS)
-        standing.running += 1
-        standing.reading += run.missing
-        run.vm.recent.sent(standing.pace.reading_ms(run.missing), int(self.now))
+        run.missing = standing.prefixes.uncached_tokens(run.parts)
+        standing.prefixes.add(run.parts, CACHE_TOKENS)
+        standing.own_requests += 1
+        standing.own_prefill_tokens += run.missing
+        run.vm.recent.record(standing.speed.prefill_ms(run.missing), int(self.now))
         engine.queue.append(run)
         if not engine.stepping:
             engine.stepping = True
@@ -205,11 +205,11 @@
         """Begin one step: waiting requests get places, one prompt is read a piece further."""
         while engine.queue and len(engine.running) < self.pattern.slots:
             run = engine.queue.popleft()
-            run.unread = engine.cache.missing(run.parts)
+            run.unread = engine.cache.uncached_tokens(run.parts)
             self.result.read_again += sum(
                 it.tokens for it in run.parts[:-1] if run.unread > it.tokens
             )
-            engine.cache.sent(run.parts, CACHE_TOKENS)
+            engine.cache.add(run.parts, CACHE_TOKENS)
             engine.running.append(run)
         if not engine.running:
             engine.stepping = False
@@ -227,10 +227,10 @@
         if reads is not None:
             reads.unread -= piece
             if not reads.unread:
-                reads.vm.standings[reads.server].reading -= reads.missing
+                reads.vm.standings[reads.server].own_prefill_tokens -= reads.missing
         for run in [run for run in engine.running if run.made >= run.output]:
             engine.running.remove(run)
-            run.vm.standings[run.server].running -= 1
+            run.vm.standings[run.server].own_requests -= 1
             self.result.punctual += not run.late
         self.step(engine)
 
@@ -246,15 +246,15 @@
 
     def tell(self, vm: Vm) -> None:
         """Tell all others what a VM has, and let it hear what they told."""
-        own = [(it.running, it.reading) for it in vm.standings]
+        own = [(it.own_requests, it.own_prefill_tokens) for it in vm.standings]
         self.totals = [
             (total[0] - before[0] + now[0], total[1] - before[1] + now[1])
             for total, before, now in zip(self.totals, vm.told, own, strict=True)
         ]
         vm.told = own
         for standing, total, mine in zip(vm.standings, self.totals, own, strict=True):
-            standing.elsewhere = total[0] - mine[0]
-            standing.reading_elsewhere = total[1] - mine[1]
+            standing.peer_requests = total[0] - mine[0]
+            standing.peer_prefill_tokens = total[1] - mine[1]
         self.at(self.now + self.pattern.word_every_ms, lambda: self.tell(vm))
 
 
--- a/bench/load/stale_load.py
+++ b/bench/load/stale_load.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from hickorybeam.policy.stale_load import RecentWork, draw
+from hickorybeam.policy.stale_load import WorkRate, draw_server
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -44,7 +44,7 @@
     own: list[float] = field(default_factory=list)
     running: list[int] = field(default_factory=list)
     told: list[float] = field(default_factory=list)
-    recent: RecentWork = field(default_factory=RecentWork)
+    recent: WorkRate = field(default_factory=WorkRate)
     turn: int = 0
 
     def __post_init__(self) -> None:
@@ -64,7 +64,7 @@
         heapq.heappush(self.jobs, (done, server, work))
         self.own[server] += work
         self.running[server] += 1
-        self.recent.sent(work, round(now))
+        self.recent.record(work, round(now))
 
 
 class World:
@@ -114,7 +114,7 @@
 
 def drawn(world: World, vm: Vm) -> int:
     """Draw by what the others send unseen."""
-    return draw(world.waits(vm), world.unseen_ms(vm), world.rng)
+    return draw_server(world.waits(vm), world.unseen_ms(vm), world.rng)
 
 
 def shortest(world: World, vm: Vm) -> int:
--- a/bench/load/world.py
+++ b/bench/load/world.py
@@ -17,7 +17,7 @@
 from bench.load.baselines import LeastRequests, RoundRobin
 from bench.load.engines import Engine, Work
 
-from hickorybeam.policy.fair_queue import share_weight
+from hickorybeam.policy.fair_queue import effective_weight
 from hickorybeam.policy.job import Job, Outcome, Reason, Recall, Refuse, Spill, Start
 from hickorybeam.policy.profile import profile_named
 from hickorybeam.policy.retry import MOST_ATTEMPTS, RetryBudget, backoff_ms
@@ -185,13 +185,13 @@
             account=request.source.account,
             served=MODEL,
             cost=request.prompt + request.source.most,
-            arrived=int(self.now),
-            deadline=int(self.now + request.source.deadline),
-            weight=share_weight(request.source.weight, request.source.priority),
+            arrived_ms=int(self.now),
+            deadline_ms=int(self.now + request.source.deadline),
+            weight=effective_weight(request.source.weight, request.source.priority),
             priority=request.source.priority,
             prompt_tokens=request.prompt,
             prefix=request.prefix,
-            size=4 * request.prompt,
+            body_bytes=4 * request.prompt,
             regions=frozenset(self.engines),
         )
         request.idle_slots = self._idle_slots()
@@ -249,7 +249,7 @@
 
     def _leave_watch(self, vm: Vm, job: Job, request: Request) -> None:
         def check() -> None:
-            vm.sched.done(job, int(self.now))
+            vm.sched.call_ended(job, int(self.now))
 
         self.at(request.arrived + request.source.deadline + 0.001, check)
 
@@ -262,7 +262,7 @@
         if request is None:
             if isinstance(decision, Start):
                 now = int(self.now)
-                vm.sched.finished(decision.job, decision.backend, now, Outcome.CANCELLED, 0)
+                vm.sched.run_ended(decision.job, decision.backend, now, Outcome.CANCELLED, 0)
             return
         match decision:
             case Start(job=job, backend=backend):
@@ -270,7 +270,7 @@
             case Spill(job=job, region=region):
                 self._forward(vm, job, request, region)
             case Refuse(job=job, reason=reason):
-                vm.sched.done(job, int(self.now))
+                vm.sched.call_ended(job, int(self.now))
                 if origin is None:
                     self._close(request, "refused", reason.value)
                 else:
@@ -280,13 +280,13 @@
 
     def _forward(self, vm: Vm, job: Job, request: Request, region: str) -> None:
         far = self.vms[region][next(self._turn) % len(self.vms[region])]
-        moved = replace(job, id=next(self._ids), movable=False)
+        moved = replace(job, id=next(self._ids), may_spill=False)
         self.at(self.now + self.one_way, lambda: self._offer(far, moved, request, vm))
 
     def _came_back(self, vm: Vm, region: str, job: Job, request: Request) -> None:
         if request.outcome:
             return
-        vm.sched.regions.failed(region, int(self.now))
+        vm.sched.regions.record_failure(region, int(self.now))
         self._offer(vm, replace(job, id=next(self._ids)), request, None)
 
     # Runs on engines.
@@ -309,14 +309,14 @@
 
         def end(now: float, whole: bool) -> None:
             if whole:
-                vm.sched.finished(job, backend, int(now), Outcome.OK, job.prompt_tokens + work.made)
-                vm.sched.done(job, int(now))
+                vm.sched.run_ended(job, backend, int(now), Outcome.OK, job.prompt_tokens + work.made)
+                vm.sched.call_ended(job, int(now))
                 if not request.outcome:
                     request.region = vm.region
                     self._close(request, "ok")
                 self._poll(vm)
             elif begun:
-                vm.sched.finished(job, backend, int(now), Outcome.FAILED, work.made)
+                vm.sched.run_ended(job, backend, int(now), Outcome.FAILED, work.made)
                 if not request.outcome:
                     self._close(request, "failed", "cut")
             else:
@@ -334,7 +334,7 @@
 
         def watch_gone() -> None:
             now = int(self.now)
-            vm.sched.finished(job, engine.name, now, Outcome.CANCELLED, work.made)
+            vm.sched.run_ended(job, engine.name, now, Outcome.CANCELLED, work.made)
             self._poll(vm)
 
         self.at(request.arrived + request.source.deadline + 0.002, watch_gone)
@@ -366,12 +366,12 @@
             return
         request.work.gone = True
         request.tried |= {recall.backend}
-        vm.sched.finished(recall.job, recall.backend, int(self.now), Outcome.CANCELLED, 0)
+        vm.sched.run_ended(recall.job, recall.backend, int(self.now), Outcome.CANCELLED, 0)
         self._again(vm, recall.job, request)
 
     def _failed(self, vm: Vm, job: Job, request: Request, backend: str) -> None:
         now = int(self.now)
-        vm.sched.finished(job, backend, now, Outcome.FAILED, 0)
+        vm.sched.run_ended(job, backend, now, Outcome.FAILED, 0)
         request.tried |= {backend}
         if request.outcome:
             return
@@ -416,7 +416,7 @@
     def _deliver(self, region: str, engine: Engine) -> None:
         report = engine.report(self.now, self.report_lag)
         for vm in self.vms[region]:
-            self.at(self.now + self.report_lag, lambda vm=vm: vm.sched.heard_report(report))
+            self.at(self.now + self.report_lag, lambda vm=vm: vm.sched.update_backend_load(report))
 
     def _spread(self, region: str, load: object) -> None:
         when = self.now + self.one_way
@@ -424,7 +424,7 @@
         for other, vms in self.vms.items():
             if other != region:
                 for vm in vms:
-                    self.at(when, lambda vm=vm: vm.sched.heard_regions((arrived,)))
+                    self.at(when, lambda vm=vm: vm.sched.update_region_loads((arrived,)))
 
 
 def percentile(values: list[float], share: float) -> float:
--- a/bench/load_refusals.py
+++ b/bench/load_refusals.py
@@ -59,8 +59,8 @@
         account=f"x{number % accounts}",
         served="m",
         cost=400,
-        arrived=now,
-        deadline=now + 60_000,
+        arrived_ms=now,
+        deadline_ms=now + 60_000,
         regions=frozenset({"a"}),
     )
 
--- a/src/hickorybeam/dispatch/attempts.py
+++ b/src/hickorybeam/dispatch/attempts.py
@@ -213,7 +213,7 @@
             case Spill() if not self._running.begun and exc.ran is Ran.NO and exc.kind in FALL_BACK:
                 self._running.sent = False
                 self._near.counters.retries.labels(exc.kind.value).inc()
-                stay = replace(self._job, movable=False)
+                stay = replace(self._job, may_spill=False)
                 self._job = stay
                 return await self._running.wait(ask_offer(self._near.load, stay, self._running))
             case Start(backend=backend):
--- a/src/hickorybeam/dispatch/load_task.py
+++ b/src/hickorybeam/dispatch/load_task.py
@@ -135,13 +135,13 @@
             case Begun(job=job, backend=backend):
                 self._scheduler.first_token(job, backend, now)
             case Ended(job=job, backend=backend, outcome=outcome, used=used):
-                self._scheduler.finished(job, backend, now, outcome, used)
+                self._scheduler.run_ended(job, backend, now, outcome, used)
             case PeerEnded(region=region, answered=True):
-                self._scheduler.regions.succeeded(region)
+                self._scheduler.regions.record_success(region)
             case PeerEnded(region=region):
-                self._scheduler.regions.failed(region, now)
+                self._scheduler.regions.record_failure(region, now)
             case Done(job=job):
-                self._scheduler.done(job, now)
+                self._scheduler.call_ended(job, now)
                 self._waiting.pop(job.id, None)
                 self._recalls.pop(job.id, None)
             case Tick():
@@ -154,7 +154,7 @@
         elif isinstance(decision, Start):
             # Its caller left in the same turn; the slot must not stay taken.
             now = self._clock.now()
-            self._scheduler.finished(decision.job, decision.backend, now, Outcome.CANCELLED, 0)
+            self._scheduler.run_ended(decision.job, decision.backend, now, Outcome.CANCELLED, 0)
 
     def _take_in(self, now: int) -> None:
         """Hear what reports and other regions say."""
@@ -163,8 +163,8 @@
         for name in self._scheduler.backends.names():
             report = self._backends.report(name)
             if report is not None:
-                self._scheduler.heard_report(report)
-        self._scheduler.heard_regions(self._members.region_loads())
+                self._scheduler.update_backend_load(report)
+        self._scheduler.update_region_loads(self._members.region_loads())
 
     def _tick(self, now: int) -> None:
         self._take_in(now)
--- a/src/hickorybeam/dispatch/service.py
+++ b/src/hickorybeam/dispatch/service.py
@@ -20,7 +20,7 @@
 from hickorybeam.errors import ErrorKind, GatewayError
 from hickorybeam.kernel import Service
 from hickorybeam.model import AnswerHead
-from hickorybeam.policy.fair_queue import share_weight
+from hickorybeam.policy.fair_queue import effective_weight
 from hickorybeam.policy.job import Job, Refuse, Spill, Start
 from hickorybeam.policy.profile import profile_named
 from hickorybeam.policy.retry import RetryBudget
@@ -81,7 +81,7 @@
             profile=profile_named(cfg.load.profile),
             memory=cfg.front.memory_bytes,
             rng=self._rng,
-            longest_wait_ms=cfg.load.max_wait_ms,
+            max_wait_ms=cfg.load.max_wait_ms,
         )
 
     def bind(self, kernel: Kernel) -> None:
@@ -180,7 +180,7 @@
             self._note(job, decision)
             if isinstance(decision, Refuse):
                 raise refusal(decision)
-            attempts = Attempts(self._near, running, job, deadline=job.deadline)
+            attempts = Attempts(self._near, running, job, deadline=job.deadline_ms)
             async with aclosing(attempts.run(decision)) as parts:
                 async for part in parts:
                     spend.saw(part)
@@ -196,7 +196,7 @@
         The policy answers every job in time unless its task crashed while it held the job.
         The message is then lost; without this bound its caller would wait for ever.
         """
-        left = max(0, job.deadline - self._clock.now()) + LOST_AFTER_MS
+        left = max(0, job.deadline_ms - self._clock.now()) + LOST_AFTER_MS
         with anyio.move_on_after(left / 1000):
             return await running.wait(ask_offer(self._load, job, running))
         raise GatewayError(ErrorKind.DEADLINE, retry_after_ms=LOST_AFTER_MS)
@@ -214,14 +214,14 @@
             account=account.name,
             served=call.served,
             cost=max(1, call.cost),
-            arrived=arrived,
-            deadline=arrived + call.deadline_ms,
-            weight=share_weight(account.weight, account.priority),
+            arrived_ms=arrived,
+            deadline_ms=arrived + call.deadline_ms,
+            weight=effective_weight(account.weight, account.priority),
             priority=call.priority,
             prompt_tokens=call.prompt_tokens,
             prefix=call.prefix,
-            size=len(call.body),
-            movable=call.hops == 0,
+            body_bytes=len(call.body),
+            may_spill=call.hops == 0,
             regions=permit.regions,
         )
 
@@ -234,7 +234,7 @@
 
     def _note(self, job: Job, decision: Decision) -> None:
         """Count a decision and keep its reason for the operator."""
-        waited = self._clock.now() - job.arrived
+        waited = self._clock.now() - job.arrived_ms
         long = self._scheduler.is_long(job)
         match decision:
             case Start():
--- a/src/hickorybeam/front/gate.py
+++ b/src/hickorybeam/front/gate.py
@@ -8,7 +8,7 @@
 from hickorybeam.errors import ErrorKind, GatewayError, Retry, answer_for
 from hickorybeam.front.identity import Identity, identify, is_operator, secret_of
 from hickorybeam.model import VmState
-from hickorybeam.policy.entries import entry_order
+from hickorybeam.policy.entry_order import entry_order
 from hickorybeam.policy.route_table import PrefixTable
 
 if TYPE_CHECKING:
@@ -135,7 +135,7 @@
         """Return serving VMs of these regions, best first."""
         vm = self.cfg.vm
         return entry_order(
-            vms, region=vm.region, data_centre=vm.data_centre, allowed=allowed, spread=spread
+            vms, region=vm.region, data_centre=vm.data_centre, allowed=allowed, caller_key=spread
         )
 
     def entries(self, identity: Identity, *, address: str) -> tuple[EntryVm, ...]:
--- a/src/hickorybeam/gateway/admission.py
+++ b/src/hickorybeam/gateway/admission.py
@@ -9,7 +9,7 @@
 from hickorybeam.gateway.attempt import Errand
 from hickorybeam.model import key_digest
 from hickorybeam.model.routing import Unit
-from hickorybeam.policy.come_back import come_back_ms
+from hickorybeam.policy.retry_after import outage_retry_after_ms
 from hickorybeam.policy.route_table import pick_target
 
 if TYPE_CHECKING:
@@ -79,8 +79,8 @@
     def _ready_in_ms(self, call: RelayCall) -> int:
         """Return when a VM that knows no configuration yet may know one."""
         now = self._clock.now()
-        return come_back_ms(
-            away_ms=now - self._started_ms, settling_ms=0, left_ms=call.deadline_ms - now
+        return outage_retry_after_ms(
+            outage_ms=now - self._started_ms, recovery_ms=0, left_ms=call.deadline_ms - now
         )
 
     def _account(self, call: RelayCall) -> AccountTerms:
--- a/src/hickorybeam/gateway/attempt.py
+++ b/src/hickorybeam/gateway/attempt.py
@@ -20,7 +20,7 @@
     from hickorybeam.http1 import AnswerHead, RawHeaders, UpstreamConnection, UpstreamPool
     from hickorybeam.model.routing import RelayCall, Route
     from hickorybeam.platform import AnswerFacts
-    from hickorybeam.policy.server_choice import ServerStanding
+    from hickorybeam.policy.server_choice import ServerState
 
 __all__ = (
     "HOP_ACCOUNT",
@@ -87,7 +87,7 @@
 class ToServer:
     """A backend server of this region; another VM may have given the place there."""
 
-    standing: ServerStanding
+    standing: ServerState
     grant: Grant | None = None
 
 
--- a/src/hickorybeam/gateway/burden.py
+++ b/src/hickorybeam/gateway/burden.py
@@ -11,7 +11,7 @@
     from hickorybeam.clock import Clock
     from hickorybeam.gateway.line import Line
     from hickorybeam.gateway.place_asking import Grant
-    from hickorybeam.policy.server_choice import ServerStanding
+    from hickorybeam.policy.server_choice import ServerState
 
 __all__ = ("Burden",)
 
@@ -31,7 +31,7 @@
 
     clock: Clock
     line: Line
-    standing: ServerStanding
+    standing: ServerState
     given: bool
     size: int
     reading: int
@@ -53,7 +53,7 @@
     def has_read(self) -> None:
         """Take the first sign of an answer: its prompt is read."""
         if self.copy_from is None:
-            self.standing.pace.has_read(self.ahead, self.clock.now() - self.sent_ms)
+            self.standing.speed.record_prefill(self.ahead, self.clock.now() - self.sent_ms)
         self._add(0, -self.reading, 0)
         self.reading = 0
         self.read_ms = self.clock.now()
@@ -66,7 +66,7 @@
             return
         self.ended = True
         if ending is Ending.ANSWERED and self.read_ms is not None:
-            self.standing.pace.has_written(self.output, self.clock.now() - self.read_ms)
+            self.standing.speed.record_decode(self.output, self.clock.now() - self.read_ms)
         self._add(-1, -self.reading, -self.size)
         self.line.departed()
         if self.grant is not None:
@@ -79,11 +79,11 @@
                 self.has_read()
                 return
             case Ending.ANSWERED:
-                self.standing.succeeded()
+                self.standing.record_success()
             case Ending.FAILED:
-                self.standing.failed()
+                self.standing.record_failure()
             case Ending.UNREACHABLE:
-                self.standing.unreachable(self.clock.now())
+                self.standing.record_unreachable(self.clock.now())
             case Ending.LEFT:
                 pass
         self.end(ending)
@@ -91,10 +91,10 @@
     def _add(self, running: int, reading: int, holding: int) -> None:
         it = self.standing
         if self.given:
-            it.given += running
-            it.reading_given += reading
-            it.holding_given += holding
+            it.granted_requests += running
+            it.granted_prefill_tokens += reading
+            it.granted_held_tokens += holding
         else:
-            it.running += running
-            it.reading += reading
-            it.holding += holding
+            it.own_requests += running
+            it.own_prefill_tokens += reading
+            it.own_held_tokens += holding
--- a/src/hickorybeam/gateway/endings.py
+++ b/src/hickorybeam/gateway/endings.py
@@ -8,7 +8,7 @@
 from hickorybeam.gateway.attempt import HOP_COME_BACK, HOP_NOT_RUN, NOT_ASKED, REJECTED
 from hickorybeam.gateway.progress import name_of
 from hickorybeam.platform import answer_headers, refusal_headers
-from hickorybeam.policy.come_back import bounded_ms, come_back_ms
+from hickorybeam.policy.retry_after import clamp_retry_after_ms, outage_retry_after_ms
 
 if TYPE_CHECKING:
     from hickorybeam.clock import Clock
@@ -88,10 +88,10 @@
         now = self._clock.now()
         left_ms = errand.deadline_ms - now
         if progress.room_in_ms is not None:
-            return ErrorKind.OVERLOADED, bounded_ms(progress.room_in_ms, left_ms)
-        after = come_back_ms(
-            away_ms=self._placing.away_ms(errand.service, now),
-            settling_ms=self._feed.settling_ms(now),
+            return ErrorKind.OVERLOADED, clamp_retry_after_ms(progress.room_in_ms, left_ms)
+        after = outage_retry_after_ms(
+            outage_ms=self._placing.away_ms(errand.service, now),
+            recovery_ms=self._feed.settling_ms(now),
             left_ms=left_ms,
         )
         return ErrorKind.NO_BACKEND, after
--- a/src/hickorybeam/gateway/figures.py
+++ b/src/hickorybeam/gateway/figures.py
@@ -48,9 +48,9 @@
         :param granted: what it has there by places that others gave it.
         """
         now = {
-            name: (it.running, it.reading, it.holding)
+            name: (it.own_requests, it.own_prefill_tokens, it.own_held_tokens)
             for name, it in knowledge.standings.items()
-            if it.running or it.reading
+            if it.own_requests or it.own_prefill_tokens
         }
         for figures in granted.values():
             for name, figure in figures.items():
@@ -88,6 +88,6 @@
                 totals[server] = added(totals.get(server, NOTHING), figure)
     for name, standing in knowledge.standings.items():
         running, reading, holding = totals.get(name, NOTHING)
-        standing.elsewhere = running
-        standing.reading_elsewhere = reading
-        standing.holding_elsewhere = holding
+        standing.peer_requests = running
+        standing.peer_prefill_tokens = reading
+        standing.peer_held_tokens = holding
--- a/src/hickorybeam/gateway/fleet.py
+++ b/src/hickorybeam/gateway/fleet.py
@@ -353,7 +353,7 @@
             levels=self.quota.levels() if answer else None,
             # Peers may not know it: a VM that restarts while the store is out isn't registered.
             vm=None if self._registration.held else self.me,
-            holds={} if answer else self.holders.news(audience.value),
+            holds={} if answer else self.holders.take_updates(audience.value),
             cold={} if far else self._figures.cold_left(),
             granted=granted,
         )
@@ -392,7 +392,7 @@
         peer.leaving = tell.leaving
         peer.follows = tell.follows
         self._feed.told(tell.revision, now, source=self._source(peer))
-        self.holders.heard(tell.holds, now)
+        self.holders.merge(tell.holds, now)
         if self.peers.here(peer):
             kept = {} if tell.whole or peer.servers is None else peer.servers
             peer.servers = kept | tell.servers
--- a/src/hickorybeam/gateway/grants.py
+++ b/src/hickorybeam/gateway/grants.py
@@ -21,7 +21,7 @@
     from hickorybeam.gateway.place_words import Still, Told
     from hickorybeam.gateway.placing import Placing
     from hickorybeam.gateway.queueing import Queueing
-    from hickorybeam.policy.wait_line import Place
+    from hickorybeam.policy.wait_queue import QueueEntry
 
 __all__ = ("Grants",)
 
@@ -79,7 +79,7 @@
             found = self._queueing.at_last(errand, targets, found)
         self._answer(key, errand, found)
 
-    async def _wait(self, key: Key, errand: Errand, targets: OpenTargets, place: Place) -> None:
+    async def _wait(self, key: Key, errand: Errand, targets: OpenTargets, place: QueueEntry) -> None:
         with self._waiting[key] as left:
             found = await self._queueing.wait(errand, targets, place)
         del self._waiting[key]
--- a/src/hickorybeam/gateway/knowledge.py
+++ b/src/hickorybeam/gateway/knowledge.py
@@ -9,7 +9,7 @@
 from hickorybeam.model.routing import CallerRules, RoutingConfig
 from hickorybeam.policy.cold_limit import ColdLimit
 from hickorybeam.policy.route_table import RouteTable
-from hickorybeam.policy.server_choice import ServerStanding
+from hickorybeam.policy.server_choice import ServerState
 
 if TYPE_CHECKING:
     from hickorybeam.model.routing import RegisteredServer
@@ -23,9 +23,9 @@
     def __init__(self) -> None:
         self.config: RoutingConfig | None = None
         self.table = RouteTable(())
-        self.standings: dict[str, ServerStanding] = {}
+        self.standings: dict[str, ServerState] = {}
         self.evacuated: frozenset[str] = frozenset()
-        self._by_service: dict[str, dict[str, ServerStanding]] = {}
+        self._by_service: dict[str, dict[str, ServerState]] = {}
         self._cold_until: dict[str, int] = {}
         self._cold: dict[str, ColdLimit] = {}
 
@@ -50,7 +50,7 @@
         standing = self.standings.get(server.id)
         if standing is None or not same_life(standing.server, server):
             self._remove(server.id)
-            standing = ServerStanding(server)
+            standing = ServerState(server)
             self.standings[server.id] = standing
             self._by_service.setdefault(server.service, {})[server.id] = standing
             logging.info("server %s of %s is there", server.id, server.service)
@@ -86,12 +86,12 @@
             limit = self._cold[server.id] = ColdLimit(per_s=per_s, now_ms=now_ms)
         return limit
 
-    def servers(self, service: str) -> list[ServerStanding]:
+    def servers(self, service: str) -> list[ServerState]:
         """Return the servers of a service that are neither leaving nor evacuated."""
         found = self._by_service.get(service, {}).values()
         return [it for it in found if self.takes_work(it)]
 
-    def takes_work(self, standing: ServerStanding) -> bool:
+    def takes_work(self, standing: ServerState) -> bool:
         """Whether a server is neither leaving nor evacuated."""
         server = standing.server
         return not server.leaving and server.data_centre not in self.evacuated
--- a/src/hickorybeam/gateway/place_asking.py
+++ b/src/hickorybeam/gateway/place_asking.py
@@ -23,7 +23,7 @@
     from hickorybeam.gateway.knowledge import Knowledge
     from hickorybeam.gateway.placing import OpenTargets
     from hickorybeam.gateway.tell import Granted, ServerFigures
-    from hickorybeam.policy.server_choice import ServerStanding
+    from hickorybeam.policy.server_choice import ServerState
     from hickorybeam.telemetry import Counters
 
 __all__ = ("Grant", "PlaceAsker")
@@ -73,7 +73,7 @@
     asker: PlaceAsker
     placer: str
     number: int
-    standing: ServerStanding
+    standing: ServerState
     copy_from: str | None
     wait_ms: float
     figures: ServerFigures = NOTHING
--- a/src/hickorybeam/gateway/placing.py
+++ b/src/hickorybeam/gateway/placing.py
@@ -9,18 +9,18 @@
 
 from hickorybeam.gateway.attempt import ToPeer, ToServer
 from hickorybeam.gateway.burden import Burden
-from hickorybeam.policy.in_time import can_end
-from hickorybeam.policy.late_work import gives_way
+from hickorybeam.policy.deadline_check import can_finish
+from hickorybeam.policy.deferral import should_defer
 from hickorybeam.policy.server_choice import (
-    ServerStanding,
+    ServerState,
     choose_server,
-    cost_ms,
+    placement_cost_ms,
     interference_ms,
-    missing_of,
-    wait_ms,
+    uncached_prompt_tokens,
+    expected_wait_ms,
 )
-from hickorybeam.policy.server_pace import FIRST_READ_TOKENS_PER_MS
-from hickorybeam.policy.stale_load import RecentWork
+from hickorybeam.policy.server_speed import INITIAL_PREFILL_TOKENS_PER_MS
+from hickorybeam.policy.stale_load import WorkRate
 
 if TYPE_CHECKING:
     from collections.abc import Collection, Iterable
@@ -115,7 +115,7 @@
         self._fleet = fleet
         self._lines = lines
         self._rng = random.Random()
-        self._recent: defaultdict[str, RecentWork] = defaultdict(RecentWork)
+        self._recent: defaultdict[str, WorkRate] = defaultdict(WorkRate)
         self._nothing_since: dict[str, int] = {}
 
     def choose(self, errand: Errand, targets: OpenTargets) -> Target | Full | None:
@@ -133,7 +133,7 @@
         return now_ms - self._nothing_since.get(service, now_ms)
 
     def _chosen(self, errand: Errand, targets: OpenTargets, now: int) -> Target | Full | None:
-        here: ServerStanding | Full | None = None
+        here: ServerState | Full | None = None
         if targets.here_only or self._allowed(errand, self._fleet.me.region):
             here = self._choose_here(errand, targets, now)
         away = None if targets.here_only else self._choose_away(errand, targets)
@@ -149,35 +149,35 @@
             self._cold_limit(here, now).take(now)
         return ToServer(here)
 
-    def _cost_here(self, here: ServerStanding | Full, errand: Errand, now_ms: int) -> float:
+    def _cost_here(self, here: ServerState | Full, errand: Errand, now_ms: int) -> float:
         if isinstance(here, Full):
             return here.wait_ms
         call = errand.call
-        return cost_ms(here, missing_of(here, call.parts, call.prompt_tokens), now_ms)
+        return placement_cost_ms(here, uncached_prompt_tokens(here, call.parts, call.prompt_tokens), now_ms)
 
-    def _in_time(self, standing: ServerStanding, errand: Errand, now_ms: int) -> bool:
+    def _in_time(self, standing: ServerState, errand: Errand, now_ms: int) -> bool:
         """Whether a server could answer a request before its deadline."""
-        call, pace = errand.call, standing.pace
-        to_read = standing.to_read() + missing_of(standing, call.parts, call.prompt_tokens)
-        return can_end(
+        call, pace = errand.call, standing.speed
+        to_read = standing.pending_prefill_tokens() + uncached_prompt_tokens(standing, call.parts, call.prompt_tokens)
+        return can_finish(
             left_ms=errand.deadline_ms - now_ms,
-            first_ms=pace.reading_ms(to_read),
-            writing_ms=pace.writing_ms(call.output_tokens),
+            first_event_ms=pace.prefill_ms(to_read),
+            decode_ms=pace.decode_ms(call.output_tokens),
         )
 
     def _in_time_away(self, errand: Errand, now_ms: int) -> bool:
         """Whether another region could answer a request before its deadline, if it is idle."""
         own = errand.call.parts[-1].tokens if errand.call.parts else errand.call.prompt_tokens
-        reading_ms = own / FIRST_READ_TOKENS_PER_MS
-        return can_end(
+        reading_ms = own / INITIAL_PREFILL_TOKENS_PER_MS
+        return can_finish(
             left_ms=errand.deadline_ms - now_ms,
-            first_ms=REGION_WAY_MS + reading_ms,
-            writing_ms=0.0,
+            first_event_ms=REGION_WAY_MS + reading_ms,
+            decode_ms=0.0,
         )
 
     def _choose_here(
         self, errand: Errand, targets: OpenTargets, now_ms: int
-    ) -> ServerStanding | Full | None:
+    ) -> ServerState | Full | None:
         usable = self._usable(errand.service, now_ms)
         fresh = [it for it in usable if it.server.id not in targets.tried]
         if not fresh and targets.again:
@@ -186,14 +186,14 @@
         size = size_of(call)
         with_room = [it for it in fresh if it.has_room(size, now_ms)]
         if fresh and not with_room:
-            return Full(self._lines.of(errand.service).policy.estimate_ms(errand.urgency, now_ms))
+            return Full(self._lines.of(errand.service).policy.expected_wait_ms(errand.urgency, now_ms))
         found = choose_server(
             with_room,
             parts=call.parts,
-            tokens=call.prompt_tokens,
+            prompt_tokens=call.prompt_tokens,
             now_ms=now_ms,
             rng=self._rng,
-            unseen_ms=self._unseen_ms(errand.service, now_ms),
+            unreported_ms=self._unseen_ms(errand.service, now_ms),
             data_centre=targets.sent_from or self._fleet.me.data_centre,
         )
         if found is None or targets.here_only or not targets.late_waits:
@@ -201,25 +201,25 @@
         return self._unless_late(found, errand, now_ms)
 
     def _unless_late(
-        self, standing: ServerStanding, errand: Errand, now_ms: int
-    ) -> ServerStanding | Full:
+        self, standing: ServerState, errand: Errand, now_ms: int
+    ) -> ServerState | Full:
         """Return the server, or for how long a prompt that can only be late would wait there."""
-        call, pace = errand.call, standing.pace
+        call, pace = errand.call, standing.speed
         if not call.parts:
             return standing
-        ahead_ms = pace.reading_ms(standing.to_read())
-        reading_ms = pace.reading_ms(standing.memory.missing(call.parts))
-        late = gives_way(
+        ahead_ms = pace.prefill_ms(standing.pending_prefill_tokens())
+        reading_ms = pace.prefill_ms(standing.prefixes.uncached_tokens(call.parts))
+        late = should_defer(
             target_ms=errand.route.target_ms,
-            gone_ms=now_ms - call.arrived_ms,
-            ahead_ms=ahead_ms,
-            reading_ms=reading_ms,
+            elapsed_ms=now_ms - call.arrived_ms,
+            backlog_ms=ahead_ms,
+            prefill_ms=reading_ms,
         )
         return Full(ahead_ms + reading_ms, late=True) if late else standing
 
     def begin(
         self,
-        standing: ServerStanding,
+        standing: ServerState,
         errand: Errand,
         *,
         given: bool = False,
@@ -231,9 +231,9 @@
         :param grant: the place that another VM gave it.
         """
         call, now = errand.call, self._clock.now()
-        missing = missing_of(standing, call.parts, call.prompt_tokens)
+        missing = uncached_prompt_tokens(standing, call.parts, call.prompt_tokens)
         if grant is None:
-            foreseen_ms = wait_ms(standing, missing, now)
+            foreseen_ms = expected_wait_ms(standing, missing, now)
             copy_from = self.copy_from(standing, errand)
         else:
             foreseen_ms, copy_from = grant.wait_ms, grant.copy_from
@@ -244,7 +244,7 @@
             given=given,
             size=size_of(call),
             reading=missing,
-            ahead=standing.to_read() + missing,
+            ahead=standing.pending_prefill_tokens() + missing,
             sent_ms=now,
             wait_ms=foreseen_ms,
             copy_from=copy_from,
@@ -252,20 +252,20 @@
             grant=grant,
         )
         if not given:
-            self._recent[errand.service].sent(standing.pace.reading_ms(missing), now)
+            self._recent[errand.service].record(standing.speed.prefill_ms(missing), now)
         burden.begin()
         self._remember(standing, errand, now)
         return burden
 
-    def _remember(self, standing: ServerStanding, errand: Errand, now_ms: int) -> None:
+    def _remember(self, standing: ServerState, errand: Errand, now_ms: int) -> None:
         """Take note of the parts that a server holds from now on."""
         parts = errand.call.parts
         config = self._knowledge.config
         spec = config.services.get(errand.service) if config else None
         room = spec.engine.cache_tokens if spec and spec.engine else 0
-        standing.memory_tokens = room
-        standing.memory.sent(parts, room or DEFAULT_CACHE_TOKENS)
-        self._fleet.holders.sent(parts, standing.server.id, now_ms)
+        standing.cache_tokens = room
+        standing.prefixes.add(parts, room or DEFAULT_CACHE_TOKENS)
+        self._fleet.holders.record_sent(parts, standing.server.id, now_ms)
 
     def _unseen_ms(self, service: str, now_ms: int) -> float:
         """Return the reading that the region's other VMs sent since they were heard.
@@ -277,24 +277,24 @@
             return 0.0
         return self._recent[service].rate(now_ms) * self._fleet.region_lag_ms
 
-    def _usable(self, service: str, now_ms: int) -> list[ServerStanding]:
+    def _usable(self, service: str, now_ms: int) -> list[ServerState]:
         """Return this region's servers that may get a request now."""
         found = []
         for standing in self._knowledge.servers(service):
             if not self._fleet.is_here(standing.server.data_centre):
                 continue
-            if standing.paused_until_ms > now_ms:
+            if standing.backoff_until_ms > now_ms:
                 continue
             cold = self._knowledge.is_cold(standing.server.id, now_ms)
             if not cold or self._may_warm(standing, now_ms):
                 found.append(standing)
         return found
 
-    def _may_warm(self, standing: ServerStanding, now_ms: int) -> bool:
+    def _may_warm(self, standing: ServerState, now_ms: int) -> bool:
         owners = self._fleet.who_places.warming(standing.server)
         return self._fleet.me.name in owners and self._cold_limit(standing, now_ms).ready(now_ms)
 
-    def _cold_limit(self, standing: ServerStanding, now_ms: int) -> ColdLimit:
+    def _cold_limit(self, standing: ServerState, now_ms: int) -> ColdLimit:
         return self._knowledge.cold_limit(standing.server, now_ms)
 
     def _choose_away(self, errand: Errand, targets: OpenTargets) -> tuple[ToPeer, float] | None:
@@ -306,7 +306,7 @@
         # Peers of one region tell nearly the same wait; the same one for all would be flooded.
         best = [it for it in found if it.wait_ms <= found[0].wait_ms + SAME_WAIT_MS]
         pick = self._rng.choice(best)
-        reading_ms = errand.call.prompt_tokens / FIRST_READ_TOKENS_PER_MS
+        reading_ms = errand.call.prompt_tokens / INITIAL_PREFILL_TOKENS_PER_MS
         others_ms = interference_ms(reading_ms, pick.running)
         return ToPeer(pick.peer), pick.wait_ms + reading_ms + others_ms + REGION_WAY_MS
 
@@ -344,14 +344,14 @@
             homes.append(terms.homes)
         return all(not home or region in home for home in homes)
 
-    def copy_from(self, standing: ServerStanding | None, errand: Errand) -> str | None:
+    def copy_from(self, standing: ServerState | None, errand: Errand) -> str | None:
         """Return the address of a server from which a prompt's shared parts can be copied."""
         parts = errand.call.parts
-        if standing is None or len(parts) < 2 or not standing.memory.missing(parts[:-1]):
+        if standing is None or len(parts) < 2 or not standing.prefixes.uncached_tokens(parts[:-1]):
             return None
         now = self._clock.now()
-        holder = self._knowledge.standings.get(self._fleet.holders.holder(parts, now) or "")
-        if holder is None or holder is standing or holder.paused_until_ms > now:
+        holder = self._knowledge.standings.get(self._fleet.holders.find_holder(parts, now) or "")
+        if holder is None or holder is standing or holder.backoff_until_ms > now:
             return None
         if holder.server.leaving or holder.server.service != standing.server.service:
             return None
@@ -366,10 +366,10 @@
             usable = self._usable(service, now)
             free = [it for it in usable if it.has_room(0, now)]
             if free:
-                found[service] = min((round(wait_ms(it, 0, now)), it.busy(now)) for it in free)
+                found[service] = min((round(expected_wait_ms(it, 0, now)), it.in_flight(now)) for it in free)
             elif usable:
-                wait = self._lines.of(service).policy.estimate_ms(0, now) + FULL_MS
-                found[service] = (round(wait), min(it.busy(now) for it in usable))
+                wait = self._lines.of(service).policy.expected_wait_ms(0, now) + FULL_MS
+                found[service] = (round(wait), min(it.in_flight(now) for it in usable))
         return found
 
 
--- a/src/hickorybeam/gateway/queueing.py
+++ b/src/hickorybeam/gateway/queueing.py
@@ -5,15 +5,15 @@
 from typing import TYPE_CHECKING
 
 from hickorybeam.gateway.placing import Full
-from hickorybeam.policy.come_back import bounded_ms, longest_wait_ms
-from hickorybeam.policy.wait_line import late_patience_ms, patience_ms
+from hickorybeam.policy.retry_after import clamp_retry_after_ms, max_retry_after_ms
+from hickorybeam.policy.wait_queue import max_deferral_ms, max_queue_wait_ms
 
 if TYPE_CHECKING:
     from hickorybeam.clock import Clock
     from hickorybeam.gateway.attempt import Errand, Target
     from hickorybeam.gateway.line import Lines
     from hickorybeam.gateway.placing import OpenTargets, Placing
-    from hickorybeam.policy.wait_line import Place
+    from hickorybeam.policy.wait_queue import QueueEntry
 
 __all__ = ("Queueing",)
 
@@ -36,7 +36,7 @@
             found = await self.wait(errand, targets, place)
         return self.at_last(errand, targets, found) if isinstance(found, Full) else found
 
-    def enter(self, errand: Errand, found: Full) -> Place | None:
+    def enter(self, errand: Errand, found: Full) -> QueueEntry | None:
         """Take a place in line, or none where the wait would be longer than it may wait.
 
         :param found: why it was not placed at once.
@@ -48,7 +48,7 @@
         return self._lines.of(errand.service).policy.enter(errand.urgency, patience, now)
 
     async def wait(
-        self, errand: Errand, targets: OpenTargets, place: Place
+        self, errand: Errand, targets: OpenTargets, place: QueueEntry
     ) -> Target | Full | None:
         """Wait in line for room."""
         line = self._lines.of(errand.service)
@@ -58,7 +58,7 @@
                     target = self._placing.choose(errand, targets)
                     if not isinstance(target, Full) or target.in_vain:
                         return target
-            return Full(line.policy.estimate_ms(errand.urgency, self._clock.now()))
+            return Full(line.policy.expected_wait_ms(errand.urgency, self._clock.now()))
         finally:
             line.leave(place)
 
@@ -73,8 +73,8 @@
         now = self._clock.now()
         left_ms = errand.deadline_ms - now
         line = self._lines.of(errand.service).policy
-        after = line.come_back_ms(errand.urgency, longest_wait_ms(left_ms), now)
-        return bounded_ms(after, left_ms)
+        after = line.retry_after_ms(errand.urgency, max_retry_after_ms(left_ms), now)
+        return clamp_retry_after_ms(after, left_ms)
 
 
 def patience_of(errand: Errand, now_ms: int, *, late: bool) -> int:
@@ -83,9 +83,9 @@
     :param late: it waits since it could only be late.
     """
     target_ms, elapsed_ms = errand.route.target_ms, now_ms - errand.call.arrived_ms
-    usual = patience_ms(target_ms=target_ms, elapsed_ms=elapsed_ms)
+    usual = max_queue_wait_ms(target_ms=target_ms, elapsed_ms=elapsed_ms)
     if not late:
         return usual
     left_ms = errand.deadline_ms - now_ms
-    longer = late_patience_ms(target_ms=target_ms, elapsed_ms=elapsed_ms, left_ms=left_ms)
+    longer = max_deferral_ms(target_ms=target_ms, elapsed_ms=elapsed_ms, left_ms=left_ms)
     return max(usual, longer)
--- a/src/hickorybeam/gateway/relay.py
+++ b/src/hickorybeam/gateway/relay.py
@@ -23,7 +23,7 @@
 from hickorybeam.kernel import Service
 from hickorybeam.model.routing import Repeat, Route
 from hickorybeam.platform import decode_call, decode_query, directory_answer
-from hickorybeam.policy.directory import RegionVms, vms_to_name
+from hickorybeam.policy.directory_listing import RegionVms, vms_to_list
 from hickorybeam.ports import FEED, FLEET, RELAY
 from hickorybeam.sockets import bound_socket, split_address
 from hickorybeam.telemetry.decisions import DecisionLog
@@ -235,12 +235,12 @@
         if knowledge.config is None:
             # Homes aren't known yet; a caller led out of them can't be served there.
             return ()
-        return vms_to_name(
+        return vms_to_list(
             region,
             homes=knowledge.table.homes(host.lower()),
             regions=set(self._gateway.regions.values()),
             vms_of=self._vms_of,
-            settled=self._fleet.settled(),
+            fleet_known=self._fleet.settled(),
         )
 
     def _vms_of(self, region: str) -> RegionVms:
@@ -249,8 +249,8 @@
         leaving = self._fleet.leaving_vms(region)
         return RegionVms(
             serving=self._fleet.region_vms(region),
-            closing=[vm for vm, for_ms in leaving if for_ms < times.serve_on_ms],
-            finishing=[
+            draining=[vm for vm, for_ms in leaving if for_ms < times.serve_on_ms],
+            draining_short_only=[
                 vm for vm, for_ms in leaving if times.serve_on_ms <= for_ms < times.accept_on_ms
             ],
         )
--- a/src/hickorybeam/gateway/sending.py
+++ b/src/hickorybeam/gateway/sending.py
@@ -9,7 +9,7 @@
 from hickorybeam.gateway.place_words import Ending
 from hickorybeam.http1 import BrokenAnswerError
 from hickorybeam.platform import answer_headers
-from hickorybeam.policy.first_byte import first_byte_ms
+from hickorybeam.policy.first_byte_timeout import first_byte_timeout_ms
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -23,7 +23,7 @@
     from hickorybeam.gateway.progress import Progress
     from hickorybeam.http1 import AnswerHead, UpstreamPool
     from hickorybeam.platform import AnswerFacts
-    from hickorybeam.policy.server_choice import ServerStanding
+    from hickorybeam.policy.server_choice import ServerState
     from hickorybeam.telemetry import Counters
 
 __all__ = ("Sending",)
@@ -114,7 +114,7 @@
                 self._unreachable(target, attempt)
                 return Ending.UNREACHABLE
             case _, ToServer(standing):
-                standing.failed()
+                standing.record_failure()
         return Ending.FAILED
 
     def _observe_first_byte(self, errand: Errand) -> None:
@@ -123,12 +123,12 @@
 
     def _first_byte_ms(self, errand: Errand, progress: Progress) -> float | None:
         runs_left = errand.route.max_attempts - progress.runs - 1
-        return first_byte_ms(errand.route, runs_left=runs_left, foreseen_ms=progress.foreseen_ms)
+        return first_byte_timeout_ms(errand.route, attempts_left=runs_left, expected_ms=progress.foreseen_ms)
 
-    def _take_facts(self, standing: ServerStanding, facts: AnswerFacts) -> None:
+    def _take_facts(self, standing: ServerState, facts: AnswerFacts) -> None:
         now = self._clock.now()
         if facts.load is not None:
-            standing.told(busy=facts.load.running + facts.load.waiting, now_ms=now)
+            standing.record_load(busy=facts.load.running + facts.load.waiting, now_ms=now)
         if facts.cold_ms:
             self._knowledge.cold(standing.server.id, facts.cold_ms, now)
 
@@ -139,13 +139,13 @@
         facts: AnswerFacts,
         errand: Errand,
         progress: Progress,
-        standing: ServerStanding | None,
+        standing: ServerState | None,
     ) -> None:
         if facts.not_run:
             await attempt.body()
             attempt.kept()
             if standing is not None and facts.other_server:
-                standing.unreachable(self._clock.now())
+                standing.record_unreachable(self._clock.now())
             raise NotSentError(f"status {facts.status}: not run", rejected=True)
         good = OK <= facts.status < FIRST_ERROR
         if good and not facts.signed:
@@ -158,9 +158,9 @@
             self._take_whole(head, facts, body, errand, progress)
         if standing is not None:
             if good:
-                standing.succeeded()
+                standing.record_success()
             else:
-                standing.failed()
+                standing.record_failure()
 
     def _take_whole(
         self,
@@ -203,6 +203,6 @@
         attempt.forget_idle()
         match target:
             case ToServer(standing):
-                standing.unreachable(self._clock.now())
+                standing.record_unreachable(self._clock.now())
             case ToPeer(peer):
                 peer.forecasts = None
--- a/src/hickorybeam/gateway/who_places.py
+++ b/src/hickorybeam/gateway/who_places.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from hickorybeam.policy.cold_limit import OWNERS, cold_owners
-from hickorybeam.policy.placers import placers
+from hickorybeam.policy.coordinators import rank_coordinators
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Collection
@@ -64,5 +64,5 @@
             steady = self._peers.steady()
             if self._stays():
                 steady[self._me.name] = self._me.power
-            order = self._orders[service] = placers(service, steady)
+            order = self._orders[service] = rank_coordinators(service, steady)
         return order
--- a/src/hickorybeam/policy/placers.py
+++ b/src/hickorybeam/policy/coordinators.py
@@ -17,7 +17,7 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-__all__ = ("placers",)
+__all__ = ("rank_coordinators",)
 
 # With so few VMs, words between them are a tenth of a second old and each sends a good part of
 # what is sent: asking another one would gain nothing.
@@ -28,7 +28,7 @@
 STRONG_SHARE = 0.75
 
 
-def placers(service: str, vms: Mapping[str, float]) -> list[str]:
+def rank_coordinators(service: str, vms: Mapping[str, float]) -> list[str]:
     """Return the VMs that place a service's requests, in order; none where each decides alone.
 
     Those with much processor come first.
--- a/src/hickorybeam/policy/in_time.py
+++ b/src/hickorybeam/policy/deadline_check.py
@@ -8,17 +8,17 @@
 
 from __future__ import annotations
 
-__all__ = ("can_end",)
+__all__ = ("can_finish",)
 
 # Callers tell the most tokens of an answer; many are shorter.
 SHORT_ANSWER_SHARE = 0.5
 
 
-def can_end(*, left_ms: float, first_ms: float, writing_ms: float) -> bool:
+def can_finish(*, left_ms: float, first_event_ms: float, decode_ms: float) -> bool:
     """Return whether an answer may end in time.
 
     :param left_ms: what is left until the deadline.
-    :param first_ms: what is foreseen until its first event.
-    :param writing_ms: what its server usually takes from there to the end of so long an answer.
+    :param first_event_ms: what is foreseen until its first event.
+    :param decode_ms: what its server usually takes from there to the end of so long an answer.
     """
-    return first_ms + SHORT_ANSWER_SHARE * writing_ms <= left_ms
+    return first_event_ms + SHORT_ANSWER_SHARE * decode_ms <= left_ms
--- a/src/hickorybeam/policy/late_work.py
+++ b/src/hickorybeam/policy/deferral.py
@@ -9,19 +9,19 @@
 
 from __future__ import annotations
 
-__all__ = ("gives_way",)
+__all__ = ("should_defer",)
 
 # A server that has no more than this to read, in ms, may get late work: it would be idle
 # before the next prompt came.
 LITTLE_AHEAD_MS = 50.0
 
 
-def gives_way(*, target_ms: int, gone_ms: int, ahead_ms: float, reading_ms: float) -> bool:
+def should_defer(*, target_ms: int, elapsed_ms: int, backlog_ms: float, prefill_ms: float) -> bool:
     """Return whether a prompt waits here rather than at the best of its servers.
 
     :param target_ms: its objective for the first event.
-    :param gone_ms: how much of that has passed.
-    :param ahead_ms: what the server has to read before it.
-    :param reading_ms: its own reading there.
+    :param elapsed_ms: how much of that has passed.
+    :param backlog_ms: what the server has to read before it.
+    :param prefill_ms: its own reading there.
     """
-    return ahead_ms > LITTLE_AHEAD_MS and gone_ms + ahead_ms + reading_ms > target_ms
+    return backlog_ms > LITTLE_AHEAD_MS and elapsed_ms + backlog_ms + prefill_ms > target_ms
--- a/src/hickorybeam/policy/directory.py
+++ b/src/hickorybeam/policy/directory_listing.py
@@ -16,40 +16,40 @@
 
     from hickorybeam.model.routing import GatewayVm
 
-__all__ = ("RegionVms", "vms_to_name")
+__all__ = ("RegionVms", "vms_to_list")
 
 
 @dataclass(frozen=True, slots=True)
 class RegionVms:
     """The VMs of one region, by what they still take.
 
-    ``closing`` VMs shut down and take everything for a moment yet; ``finishing`` ones take only
+    ``draining`` VMs shut down and take everything for a moment yet; ``draining_short_only`` ones take only
     requests that surely end before they do.
     """
 
     serving: Sequence[GatewayVm] = ()
-    closing: Sequence[GatewayVm] = ()
-    finishing: Sequence[GatewayVm] = ()
+    draining: Sequence[GatewayVm] = ()
+    draining_short_only: Sequence[GatewayVm] = ()
 
 
-def vms_to_name(
+def vms_to_list(
     region: str,
     *,
     homes: Sequence[str],
     regions: Collection[str],
     vms_of: Callable[[str], RegionVms],
-    settled: bool,
+    fleet_known: bool,
 ) -> Sequence[GatewayVm]:
     """Return the VMs that a caller of a region should use, none if it should ask elsewhere.
 
     :param homes: regions that the routes of the caller's host are bound to, those of most routes
         first; empty for none.
     :param vms_of: asked for other regions only where the caller's own has no VMs.
-    :param settled: this VM has had the time to hear of all others. One that has just started
+    :param fleet_known: this VM has had the time to hear of all others. One that has just started
         knows few of them; it would lead callers out of their homes past VMs that it doesn't
         know yet. Told nothing, they ask another VM or keep the answer that they have.
     """
-    for choice in _choices(region, homes, regions, vms_of, settled=settled):
+    for choice in _choices(region, homes, regions, vms_of, fleet_known=fleet_known):
         if choice:
             return choice
     return ()
@@ -61,21 +61,21 @@
     regions: Collection[str],
     vms_of: Callable[[str], RegionVms],
     *,
-    settled: bool,
+    fleet_known: bool,
 ) -> Iterator[Sequence[GatewayVm]]:
     """Yield what may be named, best first."""
     own = vms_of(region)
     yield own.serving
-    yield own.closing
+    yield own.draining
     at_home = [vms_of(it) for it in homes]
     yield from (it.serving for it in at_home)
-    yield from (it.closing for it in at_home)
+    yield from (it.draining for it in at_home)
     if homes:
-        yield own.finishing
-    yield from (it.finishing for it in at_home)
-    if not settled:
+        yield own.draining_short_only
+    yield from (it.draining_short_only for it in at_home)
+    if not fleet_known:
         return
     others = [vms_of(it) for it in sorted(regions) if it != region]
     yield from (it.serving for it in others)
-    yield from (it.closing for it in others)
-    yield own.finishing
+    yield from (it.draining for it in others)
+    yield own.draining_short_only
--- a/src/hickorybeam/policy/entries.py
+++ b/src/hickorybeam/policy/entry_order.py
@@ -33,7 +33,7 @@
     region: str,
     data_centre: str,
     allowed: frozenset[str] | None,
-    spread: str,
+    caller_key: str,
 ) -> tuple[EntryVm, ...]:
     """Return the VMs to use, best first.
 
@@ -41,13 +41,13 @@
     :param data_centre: where the caller asked.
     :param allowed: regions that may see the account's data; ``None`` when its residency rule
         is not known, and then no VM may.
-    :param spread: what tells callers apart, such as account and address.
+    :param caller_key: what tells callers apart, such as account and address.
     """
     if allowed is None:
         return ()
 
     def place(vm: EntryVm) -> tuple[int, bytes]:
-        key = f"{spread}\0{vm.id.name}".encode()
+        key = f"{caller_key}\0{vm.id.name}".encode()
         return _tier(vm, region, data_centre), hashlib.blake2b(key, digest_size=8).digest()
 
     serving = (vm for vm in vms if vm.state is VmState.SERVING and vm.region in allowed)
--- a/src/hickorybeam/policy/fair_queue.py
+++ b/src/hickorybeam/policy/fair_queue.py
@@ -31,7 +31,7 @@
 
     from hickorybeam.policy.job import Job
 
-__all__ = ("FairQueue", "share_weight")
+__all__ = ("FairQueue", "effective_weight")
 
 # Two a step and at most three steps: the highest class gets 64 times the lowest one's share,
 # so that the lowest still gets a turn within a bounded wait of 10 s on an engine that
@@ -42,7 +42,7 @@
 SHORT, LONG = 0, 1
 
 
-def share_weight(weight: float, priority: int) -> float:
+def effective_weight(weight: float, priority: int) -> float:
     """Return an account's weight in the queue."""
     steps = max(-PRIORITY_STEPS, min(PRIORITY_STEPS, priority))
     return max(weight, 1e-6) * PRIORITY_FACTOR**steps
@@ -198,7 +198,7 @@
         account = self.heaviest()
         if account is None:
             return None
-        return max(self.jobs_of(account), key=lambda job: (job.arrived, job.id))
+        return max(self.jobs_of(account), key=lambda job: (job.arrived_ms, job.id))
 
     def _forget(self, job: Job, flow: Flow) -> None:
         del self._jobs[job.id]
--- a/src/hickorybeam/policy/first_byte.py
+++ b/src/hickorybeam/policy/first_byte_timeout.py
@@ -9,7 +9,7 @@
 
 from hickorybeam.model.routing import Repeat, Route
 
-__all__ = ("first_byte_ms",)
+__all__ = ("first_byte_timeout_ms",)
 
 # A stream's first event may come late because its prompt is read behind others; sent again, it
 # would be read twice. So it waits for longer than its objective and than was foreseen.
@@ -18,17 +18,17 @@
 STREAM_MARGIN_MS = 400.0
 
 
-def first_byte_ms(route: Route, *, runs_left: int, foreseen_ms: float) -> float | None:
+def first_byte_timeout_ms(route: Route, *, attempts_left: int, expected_ms: float) -> float | None:
     """Return the patience in ms, or ``None`` to wait until the deadline.
 
-    :param runs_left: runs that the request may still have after this one.
-    :param foreseen_ms: the wait that the server promised when it was chosen.
+    :param attempts_left: runs that the request may still have after this one.
+    :param expected_ms: the wait that the server promised when it was chosen.
     """
-    if runs_left <= 0 or not route.repeatable:
+    if attempts_left <= 0 or not route.repeatable:
         return None
     if route.repeat is Repeat.IDEMPOTENT:
         return route.target_ms
     return max(
         route.target_ms * STREAM_SHARE_OF_TARGET,
-        foreseen_ms * FORESEEN_TIMES + STREAM_MARGIN_MS,
+        expected_ms * FORESEEN_TIMES + STREAM_MARGIN_MS,
     )
--- a/src/hickorybeam/policy/job.py
+++ b/src/hickorybeam/policy/job.py
@@ -17,11 +17,11 @@
     """One call as the decisions see it: numbers and names, no content.
 
     :param cost: tokens reserved for it: estimated prompt plus maximum output.
-    :param arrived: when it arrived, in ms of the monotonic clock.
-    :param deadline: when its caller stops waiting, on the same clock.
+    :param arrived_ms: when it arrived, in ms of the monotonic clock.
+    :param deadline_ms: when its caller stops waiting, on the same clock.
     :param prefix: digest of the prompt's start, empty for none.
-    :param size: bytes of memory its body holds.
-    :param movable: whether it may still go to another region; a forwarded call may not.
+    :param body_bytes: bytes of memory its body holds.
+    :param may_spill: whether it may still go to another region; a forwarded call may not.
     :param regions: regions allowed by residency and placement.
     """
 
@@ -29,14 +29,14 @@
     account: str
     served: str
     cost: int
-    arrived: int
-    deadline: int
+    arrived_ms: int
+    deadline_ms: int
     weight: float = 1.0
     priority: int = 0
     prompt_tokens: int = 0
     prefix: str = ""
-    size: int = 0
-    movable: bool = True
+    body_bytes: int = 0
+    may_spill: bool = True
     regions: frozenset[str] = frozenset()
 
 
--- a/src/hickorybeam/policy/prefix_holders.py
+++ b/src/hickorybeam/policy/prefix_holders.py
@@ -39,7 +39,7 @@
         self._holders: OrderedDict[str, _Holder] = OrderedDict()
         self._news: dict[str, dict[str, str]] = {}
 
-    def sent(self, parts: Sequence[PromptPart], server_id: str, now_ms: int) -> None:
+    def record_sent(self, parts: Sequence[PromptPart], server_id: str, now_ms: int) -> None:
         """Take note of a prompt that this VM sent; its last part is nobody else's."""
         for part in parts[:-1]:
             if part.tokens >= LEAST_TOKENS:
@@ -47,18 +47,18 @@
                 for news in self._news.values():
                     news[part.id] = server_id
 
-    def heard(self, news: Mapping[str, str], now_ms: int) -> None:
+    def merge(self, news: Mapping[str, str], now_ms: int) -> None:
         """Take over what another VM sent."""
         for part, server_id in news.items():
             self._put(part, server_id, now_ms)
 
-    def news(self, audience: str) -> dict[str, str]:
+    def take_updates(self, audience: str) -> dict[str, str]:
         """Return what was sent since this audience was told last."""
         found = self._news.get(audience, {})
         self._news[audience] = {}
         return found
 
-    def holder(self, parts: Sequence[PromptPart], now_ms: int) -> str | None:
+    def find_holder(self, parts: Sequence[PromptPart], now_ms: int) -> str | None:
         """Return the server that holds the most of a prompt's shared parts."""
         for part in reversed(parts[:-1]):
             found = self._holders.get(part.id)
--- a/src/hickorybeam/policy/profile.py
+++ b/src/hickorybeam/policy/profile.py
@@ -18,14 +18,14 @@
     """Figures of one profile.
 
     :param name: as in the settings.
-    :param longest_wait_ms: bound on the forecast wait; the settings may lower it.
+    :param max_wait_ms: bound on the forecast wait; the settings may lower it.
     :param spill_margin_ms: how much faster another region must be before work goes there.
     :param keep_margin_ms: how much faster it must stay for work to keep going there.
     :param price_ms: ms of waiting that avoid paying a region's price twice over.
     """
 
     name: str
-    longest_wait_ms: int
+    max_wait_ms: int
     spill_margin_ms: int
     keep_margin_ms: int
     price_ms: int
@@ -33,14 +33,14 @@
 
 CHEAP = Profile(
     name="cheap",
-    longest_wait_ms=10_000,
+    max_wait_ms=10_000,
     spill_margin_ms=1_000,
     keep_margin_ms=400,
     price_ms=2_000,
 )
 FAST = Profile(
     name="fast",
-    longest_wait_ms=4_000,
+    max_wait_ms=4_000,
     spill_margin_ms=100,
     keep_margin_ms=20,
     price_ms=0,
--- a/src/hickorybeam/policy/region_choice.py
+++ b/src/hickorybeam/policy/region_choice.py
@@ -126,7 +126,7 @@
         """Count a job as sent."""
         link = self._link(region)
         self._refill(link, now)
-        link.bytes_left -= job.size
+        link.bytes_left -= job.body_bytes
         quota = link.quotas.get(job.served)
         if quota is not None:
             quota.left -= job.cost
@@ -139,11 +139,11 @@
             if quota is not None:
                 quota.sending = False
 
-    def succeeded(self, region: str) -> None:
+    def record_success(self, region: str) -> None:
         """Note that a region answered."""
         self._link(region).pause = 0
 
-    def failed(self, region: str, now: int) -> None:
+    def record_failure(self, region: str, now: int) -> None:
         """Leave a region alone for a while, since its peers cannot be reached or refuse."""
         link = self._link(region)
         if now < link.closed_until:
@@ -167,7 +167,7 @@
         if quota is None or quota.load is None or now - quota.load.at_ms > STALE_AFTER_MS:
             return math.inf
         self._refill(link, now)
-        if quota.left <= 0 or link.bytes_left < job.size:
+        if quota.left <= 0 or link.bytes_left < job.body_bytes:
             return math.inf
         return quota.load.wait_ms + ROUND_TRIP_MS + self._price(region)
 
--- a/src/hickorybeam/policy/come_back.py
+++ b/src/hickorybeam/policy/retry_after.py
@@ -9,7 +9,7 @@
 
 from __future__ import annotations
 
-__all__ = ("bounded_ms", "come_back_ms", "longest_wait_ms")
+__all__ = ("clamp_retry_after_ms", "outage_retry_after_ms", "max_retry_after_ms")
 
 # The least that a caller is told, in ms: a server that starts or a watch that reads anew
 # takes about that.
@@ -18,7 +18,7 @@
 SHARE_OF_TIME_LEFT = 1 / 3
 
 
-def longest_wait_ms(left_ms: float) -> int:
+def max_retry_after_ms(left_ms: float) -> int:
     """Return the longest time that a caller can be told.
 
     :param left_ms: what is left until its deadline.
@@ -26,20 +26,20 @@
     return max(LEAST_MS, int(left_ms * SHARE_OF_TIME_LEFT))
 
 
-def bounded_ms(wanted_ms: float, left_ms: float) -> int:
+def clamp_retry_after_ms(wanted_ms: float, left_ms: float) -> int:
     """Return the time that a caller is told, within what it can be told.
 
     :param left_ms: what is left until its deadline.
     """
-    return min(int(max(LEAST_MS, wanted_ms)), longest_wait_ms(left_ms))
+    return min(int(max(LEAST_MS, wanted_ms)), max_retry_after_ms(left_ms))
 
 
-def come_back_ms(*, away_ms: float, settling_ms: float, left_ms: float) -> int:
+def outage_retry_after_ms(*, outage_ms: float, recovery_ms: float, left_ms: float) -> int:
     """Return in how many ms a caller should come back.
 
-    :param away_ms: for how long nothing has been able to serve it.
-    :param settling_ms: how long entries of servers that lapsed with the store may still take to
+    :param outage_ms: for how long nothing has been able to serve it.
+    :param recovery_ms: how long entries of servers that lapsed with the store may still take to
         come back.
     :param left_ms: what is left until its deadline.
     """
-    return bounded_ms(settling_ms + away_ms, left_ms)
+    return clamp_retry_after_ms(recovery_ms + outage_ms, left_ms)
--- a/src/hickorybeam/policy/scheduler.py
+++ b/src/hickorybeam/policy/scheduler.py
@@ -60,7 +60,7 @@
     :param profile: margins and bounds.
     :param memory: bytes of request bodies this VM may hold.
     :param rng: source of every random choice, seeded by tests.
-    :param longest_wait_ms: lowers the profile's bound on waits.
+    :param max_wait_ms: lowers the profile's bound on waits.
     """
 
     def __init__(
@@ -70,11 +70,11 @@
         profile: Profile,
         memory: int,
         rng: random.Random,
-        longest_wait_ms: int | None = None,
+        max_wait_ms: int | None = None,
     ) -> None:
-        bounds = [profile.longest_wait_ms]
-        if longest_wait_ms is not None:
-            bounds.append(longest_wait_ms)
+        bounds = [profile.max_wait_ms]
+        if max_wait_ms is not None:
+            bounds.append(max_wait_ms)
         self._longest_wait = min(bounds)
         self._region = region
         self._rng = rng
@@ -94,11 +94,11 @@
         self.backends.configure(specs, sharing=sharing)
         self.regions.configure(costs=costs, senders=sharing)
 
-    def heard_report(self, report: LoadReport) -> None:
+    def update_backend_load(self, report: LoadReport) -> None:
         """Take a backend server's load report."""
         self.backends.heard(report)
 
-    def heard_regions(self, loads: Iterable[RegionLoad]) -> None:
+    def update_region_loads(self, loads: Iterable[RegionLoad]) -> None:
         """Take other regions' summaries."""
         for load in loads:
             self.regions.heard((load,), job_cost=self._pool(load.served).costs.value or 1.0)
@@ -111,7 +111,7 @@
         Asked before an account's tokens are taken, so that under overload a refusal costs no
         call to the budget and no loan.
         """
-        if not self._memory.fits(job.account, job.size):
+        if not self._memory.fits(job.account, job.body_bytes):
             return self._refuse(job, ErrorKind.VM_FULL, Reason.MEMORY, 0.0, 0.0)
         pool = self._pool(job.served)
         refusal = self._refusal_here(pool, job, now)
@@ -121,7 +121,7 @@
 
     def offer(self, job: Job, now: int) -> Decision | None:
         """Take a new job; ``None`` when it waits for ``poll`` to start it."""
-        if not self._memory.fits(job.account, job.size):
+        if not self._memory.fits(job.account, job.body_bytes):
             return self._refuse(job, ErrorKind.VM_FULL, Reason.MEMORY, 0.0, 0.0)
         pool = self._pool(job.served)
         pool.costs.add(job.cost)
@@ -177,21 +177,21 @@
             pool = self._pool(job.served)
             pool.first_token += FIRST_TOKEN_SHARE * (sample - pool.first_token)
 
-    def finished(self, job: Job, backend: str, now: int, outcome: Outcome, used: int) -> None:
+    def run_ended(self, job: Job, backend: str, now: int, outcome: Outcome, used: int) -> None:
         """Note that a started job ended, having used this many tokens."""
         if self._running.pop(job.id, None) is None:
             return
         self._pool(job.served).queue.settle(job.account, job.cost, used)
         self.backends.finished(job, backend, now, outcome)
 
-    def done(self, job: Job, now: int) -> None:
+    def call_ended(self, job: Job, now: int) -> None:
         """Note that a call is over, however it ended; safe to call twice."""
         pool = self._pool(job.served)
         self._advance(pool, now)
         pool.queue.remove(job.id)
         if job.id in self._held:
             self._held.discard(job.id)
-            self._memory.release(job.account, job.size)
+            self._memory.release(job.account, job.body_bytes)
 
     def tick(self, now: int) -> list[Decision]:
         """Judge health, give up what cannot run in time, and start what can.
@@ -257,7 +257,7 @@
 
     def _hold(self, job: Job) -> None:
         self._held.add(job.id)
-        self._memory.hold(job.account, job.size)
+        self._memory.hold(job.account, job.body_bytes)
 
     def _pool(self, served: str) -> Pool:
         found = self._pools.get(served)
@@ -271,8 +271,8 @@
 
     def _bound(self, pool: Pool, job: Job, now: int) -> WaitBound:
         return WaitBound(
-            longest=float(self._longest_wait - (now - job.arrived)),
-            left=float(job.deadline - now),
+            longest=float(self._longest_wait - (now - job.arrived_ms)),
+            left=float(job.deadline_ms - now),
             first_token=pool.first_token,
         )
 
@@ -294,7 +294,7 @@
         return Refuse(job, kind, reason, retry_after_ms(wait, bound, self._rng))
 
     def _elsewhere(self, job: Job, now: int, wait: float) -> str | None:
-        if not job.movable or wait <= 0:
+        if not job.may_spill or wait <= 0:
             return None
         return self.regions.choose(job, local_wait=wait, now=now)
 
@@ -329,7 +329,7 @@
                 # The median moved since the job was queued and it counts as long only now.
                 backend = self.backends.pick(job, now, long=False)
             assert backend is not None
-            if job.arrived < now or len(pool.queue):
+            if job.arrived_ms < now or len(pool.queue):
                 pool.drain.drained(job.cost)
             decisions.append(self._start(pool, job, backend, now))
 
@@ -358,7 +358,7 @@
     def _give_up(self, pool: Pool, job: Job, kind: ErrorKind, reason: Reason, now: int) -> Decision:
         pool.queue.remove(job.id)
         region = self._elsewhere(job, now, math.inf)
-        if region is not None and job.deadline > now:
+        if region is not None and job.deadline_ms > now:
             return self._spill(pool, job, region, math.inf, now)
         capacity = self.backends.capacity(pool.served, now)
         wait = pool.drain.wait_ms(pool.queue.backlog, capacity)
--- a/src/hickorybeam/policy/server_choice.py
+++ b/src/hickorybeam/policy/server_choice.py
@@ -16,8 +16,8 @@
 from typing import TYPE_CHECKING
 
 from hickorybeam.policy.cold_limit import rendezvous
-from hickorybeam.policy.server_pace import ServerPace
-from hickorybeam.policy.stale_load import draw
+from hickorybeam.policy.server_speed import ServerSpeed
+from hickorybeam.policy.stale_load import draw_server
 
 if TYPE_CHECKING:
     import random
@@ -26,13 +26,13 @@
     from hickorybeam.model.routing import PromptPart, RegisteredServer
 
 __all__ = (
-    "PrefixMemory",
-    "ServerStanding",
+    "PrefixCacheEstimate",
+    "ServerState",
     "choose_server",
-    "cost_ms",
+    "placement_cost_ms",
     "interference_ms",
-    "missing_of",
-    "wait_ms",
+    "uncached_prompt_tokens",
+    "expected_wait_ms",
 )
 
 # What one more request in a full server's queue waits, in ms.
@@ -66,21 +66,21 @@
 LONGEST_PAUSE_MS = 6_000
 
 
-class PrefixMemory:
+class PrefixCacheEstimate:
     """Which parts of prompts a server probably holds: those sent there last, by size."""
 
     def __init__(self) -> None:
         self._parts: OrderedDict[str, int] = OrderedDict()
         self._tokens = 0
 
-    def missing(self, parts: Sequence[PromptPart]) -> int:
+    def uncached_tokens(self, parts: Sequence[PromptPart]) -> int:
         """Return the tokens that the server would have to read."""
         for index, part in enumerate(parts):
             if part.id not in self._parts:
                 return sum(rest.tokens for rest in parts[index:])
         return 0
 
-    def sent(self, parts: Iterable[PromptPart], room: int) -> None:
+    def add(self, parts: Iterable[PromptPart], room: int) -> None:
         """Take note of a prompt; the oldest parts give way beyond ``room`` tokens."""
         for part in parts:
             self._tokens += part.tokens - self._parts.pop(part.id, 0)
@@ -96,73 +96,73 @@
 
 
 @dataclass(slots=True, eq=False)
-class ServerStanding:
+class ServerState:
     """What this VM knows of one life of a server.
 
     ``running`` requests, ``reading`` prompt tokens and ``holding`` tokens are this VM's; those
     ``given`` are of places that it gave to other VMs, and those ``elsewhere`` are what the
-    region's other VMs have there besides. ``memory_tokens`` is its size, 0
+    region's other VMs have there besides. ``cache_tokens`` is its size, 0
     where it isn't told.
     """
 
     server: RegisteredServer
-    memory_tokens: int = 0
-    running: int = 0
-    reading: int = 0
-    holding: int = 0
-    given: int = 0
-    reading_given: int = 0
-    holding_given: int = 0
-    elsewhere: int = 0
-    reading_elsewhere: int = 0
-    holding_elsewhere: int = 0
+    cache_tokens: int = 0
+    own_requests: int = 0
+    own_prefill_tokens: int = 0
+    own_held_tokens: int = 0
+    granted_requests: int = 0
+    granted_prefill_tokens: int = 0
+    granted_held_tokens: int = 0
+    peer_requests: int = 0
+    peer_prefill_tokens: int = 0
+    peer_held_tokens: int = 0
     told_busy: int = 0
     told_ms: int = -TOLD_VALID_MS
-    failing: float = 0.0
-    paused_until_ms: int = 0
-    pause_ms: int = 0
-    memory: PrefixMemory = field(default_factory=PrefixMemory)
-    pace: ServerPace = field(default_factory=ServerPace)
+    failure_rate: float = 0.0
+    backoff_until_ms: int = 0
+    backoff_ms: int = 0
+    prefixes: PrefixCacheEstimate = field(default_factory=PrefixCacheEstimate)
+    speed: ServerSpeed = field(default_factory=ServerSpeed)
 
-    def told(self, *, busy: int, now_ms: int) -> None:
+    def record_load(self, *, busy: int, now_ms: int) -> None:
         """Take what the server says of itself: requests that run or wait there."""
         self.told_busy = busy
         self.told_ms = now_ms
 
-    def succeeded(self) -> None:
+    def record_success(self) -> None:
         """Count an answer."""
-        self.failing *= 1 - FAILURE_WEIGHT
-        self.pause_ms = 0
+        self.failure_rate *= 1 - FAILURE_WEIGHT
+        self.backoff_ms = 0
 
-    def failed(self) -> None:
+    def record_failure(self) -> None:
         """Count a failure that the server answered with."""
-        self.failing += FAILURE_WEIGHT * (1 - self.failing)
+        self.failure_rate += FAILURE_WEIGHT * (1 - self.failure_rate)
 
-    def unreachable(self, now_ms: int) -> None:
+    def record_unreachable(self, now_ms: int) -> None:
         """Leave a server that didn't take a connection or fell silent, longer each time."""
-        self.failed()
-        if now_ms < self.paused_until_ms:
+        self.record_failure()
+        if now_ms < self.backoff_until_ms:
             return
-        self.pause_ms = min(LONGEST_PAUSE_MS, max(FIRST_PAUSE_MS, self.pause_ms * 2))
-        self.paused_until_ms = now_ms + self.pause_ms
+        self.backoff_ms = min(LONGEST_PAUSE_MS, max(FIRST_PAUSE_MS, self.backoff_ms * 2))
+        self.backoff_until_ms = now_ms + self.backoff_ms
 
-    def busy(self, now_ms: int) -> int:
+    def in_flight(self, now_ms: int) -> int:
         """Return how many requests run or wait there, as far as is known."""
-        known = self.running + self.given + self.elsewhere
+        known = self.own_requests + self.granted_requests + self.peer_requests
         if now_ms - self.told_ms < TOLD_VALID_MS:
             return max(known, self.told_busy)
         return known
 
-    def to_read(self) -> int:
+    def pending_prefill_tokens(self) -> int:
         """Return the prompt tokens that are still to be read there, as far as is known."""
-        return self.reading + self.reading_given + self.reading_elsewhere
+        return self.own_prefill_tokens + self.granted_prefill_tokens + self.peer_prefill_tokens
 
     def has_room(self, tokens: int, now_ms: int) -> bool:
         """Whether a request of this size can start there soon."""
-        if self.busy(now_ms) >= self.server.slots + QUEUED_AT_SERVER:
+        if self.in_flight(now_ms) >= self.server.slots + QUEUED_AT_SERVER:
             return False
-        held = self.holding + self.holding_given + self.holding_elsewhere
-        return not self.memory_tokens or held + tokens <= self.memory_tokens * MEMORY_SHARE
+        held = self.own_held_tokens + self.granted_held_tokens + self.peer_held_tokens
+        return not self.cache_tokens or held + tokens <= self.cache_tokens * MEMORY_SHARE
 
 
 def interference_ms(reading_ms: float, running: int) -> float:
@@ -173,53 +173,53 @@
     return reading_ms * running * INTERFERENCE_SHARE
 
 
-def wait_ms(standing: ServerStanding, missing: int, now_ms: int) -> float:
+def expected_wait_ms(standing: ServerState, missing: int, now_ms: int) -> float:
     """Return how long a request would wait for its first byte at a server.
 
     :param missing: tokens of its prompt that the server would have to read.
     """
-    reading = standing.to_read() + missing
-    busy = standing.busy(now_ms)
+    reading = standing.pending_prefill_tokens() + missing
+    busy = standing.in_flight(now_ms)
     queued = max(0, busy + 1 - standing.server.slots)
     return (
-        standing.pace.reading_ms(reading)
+        standing.speed.prefill_ms(reading)
         + queued * QUEUED_MS
         + busy * RUNNING_MS
-        + max(0.0, standing.failing - USUAL_FAILING) * FAILURE_MS
+        + max(0.0, standing.failure_rate - USUAL_FAILING) * FAILURE_MS
     )
 
 
-def cost_ms(standing: ServerStanding, missing: int, now_ms: int) -> float:
+def placement_cost_ms(standing: ServerState, missing: int, now_ms: int) -> float:
     """Return a request's wait at a server, and what it costs the streams that run there.
 
     :param missing: tokens of its prompt that the server would have to read.
     """
-    reading_ms = standing.pace.reading_ms(missing)
-    others_ms = interference_ms(reading_ms, standing.busy(now_ms))
-    return wait_ms(standing, missing, now_ms) + others_ms
+    reading_ms = standing.speed.prefill_ms(missing)
+    others_ms = interference_ms(reading_ms, standing.in_flight(now_ms))
+    return expected_wait_ms(standing, missing, now_ms) + others_ms
 
 
-def missing_of(standing: ServerStanding, parts: Sequence[PromptPart], tokens: int) -> int:
+def uncached_prompt_tokens(standing: ServerState, parts: Sequence[PromptPart], tokens: int) -> int:
     """Return the tokens of a prompt that a server would have to read.
 
     :param tokens: size of the prompt, where its parts aren't told.
     """
-    return standing.memory.missing(parts) if parts else tokens
+    return standing.prefixes.uncached_tokens(parts) if parts else tokens
 
 
 def choose_server(
-    standings: Sequence[ServerStanding],
+    standings: Sequence[ServerState],
     *,
     parts: Sequence[PromptPart],
-    tokens: int,
+    prompt_tokens: int,
     now_ms: int,
     rng: random.Random,
-    unseen_ms: float = 0.0,
+    unreported_ms: float = 0.0,
     data_centre: str = "",
-) -> ServerStanding | None:
+) -> ServerState | None:
     """Return the server of the least cost; a prompt's own server wins ties of reading.
 
-    :param unseen_ms: reading that other VMs have sent here since they were heard, in ms of one
+    :param unreported_ms: reading that other VMs have sent here since they were heard, in ms of one
         server; with none, the shortest wait is taken.
     :param data_centre: where the choosing VM is; its servers are preferred.
     """
@@ -232,13 +232,13 @@
     ordered = sorted(standings, key=lambda it: it.server.id)
     waits = []
     for standing in ordered:
-        missing = missing_of(standing, parts, tokens)
-        wait = cost_ms(standing, missing, now_ms)
+        missing = uncached_prompt_tokens(standing, parts, prompt_tokens)
+        wait = placement_cost_ms(standing, missing, now_ms)
         if standing.server.id == home:
             # As if it held the shared parts: it will from now on.
             shared = sum(part.tokens for part in parts[:-1])
-            wait -= standing.pace.reading_ms(min(shared, missing))
+            wait -= standing.speed.prefill_ms(min(shared, missing))
         if data_centre and standing.server.data_centre != data_centre:
             wait += OTHER_CENTRE_MS
         waits.append(wait)
-    return ordered[draw(waits, unseen_ms, rng)]
+    return ordered[draw_server(waits, unreported_ms, rng)]
--- a/src/hickorybeam/policy/server_pace.py
+++ b/src/hickorybeam/policy/server_speed.py
@@ -9,10 +9,10 @@
 
 from dataclasses import dataclass
 
-__all__ = ("FIRST_READ_TOKENS_PER_MS", "ServerPace")
+__all__ = ("INITIAL_PREFILL_TOKENS_PER_MS", "ServerSpeed")
 
 # Before a server has answered: the order of size of today's engines.
-FIRST_READ_TOKENS_PER_MS = 40.0
+INITIAL_PREFILL_TOKENS_PER_MS = 40.0
 # What is believed stays within these bounds, whatever single answers suggest.
 LEAST_READ_TOKENS_PER_MS, MOST_READ_TOKENS_PER_MS = 2.0, 400.0
 # An answer to fewer tokens tells more of the way there than of the reading.
@@ -24,17 +24,17 @@
 
 
 @dataclass(slots=True)
-class ServerPace:
+class ServerSpeed:
     """What is believed of one life of a server."""
 
-    read_tokens_per_ms: float = FIRST_READ_TOKENS_PER_MS
+    read_tokens_per_ms: float = INITIAL_PREFILL_TOKENS_PER_MS
     write_ms_per_token: float = 0.0
 
-    def reading_ms(self, tokens: float) -> float:
+    def prefill_ms(self, tokens: float) -> float:
         """Return how long the server reads so many prompt tokens."""
         return tokens / self.read_tokens_per_ms
 
-    def has_read(self, tokens: int, took_ms: float) -> None:
+    def record_prefill(self, tokens: int, took_ms: float) -> None:
         """Learn from a first event.
 
         :param tokens: what the server had to read before it, known others' prompts included.
@@ -46,14 +46,14 @@
         seen = min(MOST_READ_TOKENS_PER_MS, max(LEAST_READ_TOKENS_PER_MS, seen))
         self.read_tokens_per_ms *= (seen / self.read_tokens_per_ms) ** ANSWER_WEIGHT
 
-    def writing_ms(self, tokens: int) -> float:
+    def decode_ms(self, tokens: int) -> float:
         """Return how long the server usually takes for an answer of at most so many tokens.
 
         0 before it has given one.
         """
         return tokens * self.write_ms_per_token
 
-    def has_written(self, tokens: int, took_ms: float) -> None:
+    def record_decode(self, tokens: int, took_ms: float) -> None:
         """Learn from the end of an answer.
 
         :param tokens: the most that it could have.
--- a/src/hickorybeam/policy/shedding.py
+++ b/src/hickorybeam/policy/shedding.py
@@ -50,7 +50,7 @@
 
 def _kept_longest(job: Job) -> tuple[int, int, int]:
     """Sort key: what is given up last comes first when sorted in reverse."""
-    return (job.priority, -job.cost, -job.arrived)
+    return (job.priority, -job.cost, -job.arrived_ms)
 
 
 class MemoryBound:
--- a/src/hickorybeam/policy/stale_load.py
+++ b/src/hickorybeam/policy/stale_load.py
@@ -20,7 +20,7 @@
     import random
     from collections.abc import Sequence
 
-__all__ = ("RecentWork", "draw", "fill_level")
+__all__ = ("WorkRate", "draw_server", "fill_level")
 
 # The rate of work is taken over about this long, in ms: long enough for some prompts of one VM,
 # short enough to follow a burst.
@@ -28,13 +28,13 @@
 
 
 @dataclass(slots=True)
-class RecentWork:
+class WorkRate:
     """How much work this VM sends, in ms of one server for each ms."""
 
     _rate: float = 0.0
     _at_ms: int = 0
 
-    def sent(self, work_ms: float, now_ms: int) -> None:
+    def record(self, work_ms: float, now_ms: int) -> None:
         """Count what was sent to a server."""
         self._rate = self.rate(now_ms) + work_ms / RATE_SPAN_MS
         self._at_ms = now_ms
@@ -56,7 +56,7 @@
     return level
 
 
-def draw(waits: Sequence[float], unseen_ms: float, rng: random.Random) -> int:
+def draw_server(waits: Sequence[float], unseen_ms: float, rng: random.Random) -> int:
     """Return the index of the server to take.
 
     :param waits: of each server, as far as this VM knows; ties are won by the first.
--- a/src/hickorybeam/policy/wait_line.py
+++ b/src/hickorybeam/policy/wait_queue.py
@@ -14,7 +14,7 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-__all__ = ("Place", "WaitLine", "late_patience_ms", "patience_ms")
+__all__ = ("QueueEntry", "WaitQueue", "max_deferral_ms", "max_queue_wait_ms")
 
 MS_PER_SECOND = 1000
 # One that can only be late at its servers waits until this many times its objective, and for no
@@ -36,7 +36,7 @@
 LEAST_RATE = 4.0
 
 
-def patience_ms(*, target_ms: int, elapsed_ms: int) -> int:
+def max_queue_wait_ms(*, target_ms: int, elapsed_ms: int) -> int:
     """Return how long a request may wait for a place.
 
     :param elapsed_ms: how long ago it arrived.
@@ -45,7 +45,7 @@
     return left if left > 0 else LATE_PATIENCE_MS
 
 
-def late_patience_ms(*, target_ms: int, elapsed_ms: int, left_ms: int) -> int:
+def max_deferral_ms(*, target_ms: int, elapsed_ms: int, left_ms: int) -> int:
     """Return how long a request that can only be late may wait for its servers to be idle.
 
     Callers of streams leave after four times their objective without an event.
@@ -57,19 +57,19 @@
 
 
 @dataclass(order=True, slots=True)
-class Place:
+class QueueEntry:
     """One waiting request; the least comes first."""
 
     urgency: int
     number: int
-    due_ms: int = field(compare=False)
+    expires_ms: int = field(compare=False)
 
 
-class WaitLine:
+class WaitQueue:
     """The requests that wait for one service, and how quickly places come free."""
 
     def __init__(self) -> None:
-        self._places: list[Place] = []
+        self._places: list[QueueEntry] = []
         self._numbers = itertools.count()
         self._departures: deque[int] = deque()
         self._promised_ms = 0.0
@@ -77,18 +77,18 @@
     def __len__(self) -> int:
         return len(self._places)
 
-    def departed(self, now_ms: int) -> None:
+    def record_departure(self, now_ms: int) -> None:
         """Count a request that left a server."""
         self._departures.append(now_ms)
         self._forget(now_ms)
 
-    def estimate_ms(self, urgency: int, now_ms: int) -> float:
+    def expected_wait_ms(self, urgency: int, now_ms: int) -> float:
         """Return how long a request of this urgency would wait."""
         rate = self._rate(now_ms)
         ahead = sum(place.urgency <= urgency for place in self._places)
         return (ahead + 1) / rate * MS_PER_SECOND
 
-    def come_back_ms(self, urgency: int, most_ms: int, now_ms: int) -> int:
+    def retry_after_ms(self, urgency: int, most_ms: int, now_ms: int) -> int:
         """Return when a refused caller should come back, each one later than the last.
 
         Told the same time, all that a burst refused would return at once and be refused again.
@@ -96,26 +96,26 @@
         :param most_ms: the longest that the caller can be told.
         """
         rate = self._rate(now_ms)
-        soonest = now_ms + self.estimate_ms(urgency, now_ms)
+        soonest = now_ms + self.expected_wait_ms(urgency, now_ms)
         due = max(soonest, self._promised_ms) + MS_PER_SECOND / (rate * PROMISED_SHARE)
         due = min(due, now_ms + most_ms)
         self._promised_ms = max(self._promised_ms, due)
         return int(due - now_ms)
 
-    def enter(self, urgency: int, patience: int, now_ms: int) -> Place | None:
+    def enter(self, urgency: int, patience: int, now_ms: int) -> QueueEntry | None:
         """Take a place, or none where the wait would be longer than the patience."""
-        if self.estimate_ms(urgency, now_ms) > patience:
+        if self.expected_wait_ms(urgency, now_ms) > patience:
             return None
-        place = Place(urgency, next(self._numbers), now_ms + patience)
+        place = QueueEntry(urgency, next(self._numbers), now_ms + patience)
         bisect.insort(self._places, place)
         return place
 
-    def leave(self, place: Place) -> None:
+    def leave(self, place: QueueEntry) -> None:
         """Give a place up, to go on or to be refused."""
         if place in self._places:
             self._places.remove(place)
 
-    def first(self, count: int) -> list[Place]:
+    def first(self, count: int) -> list[QueueEntry]:
         """Return the places that are next."""
         return self._places[:count]
 
--- a/tests/policy/directory.feature
+++ b/tests/policy/directory.feature
@@ -14,16 +14,16 @@
 
     Examples:
       | north                          | south                          | named | unbound |
-      | serving "n1", closing "n2"     | serving "s1"                   | n1    | n1      |
-      | closing "n2", finishing "n1"   | serving "s1"                   | n2    | n2      |
-      | finishing "n1"                 | serving "s1", closing "s2"     | s1    | s1      |
-      | finishing "n1"                 | closing "s2"                   | s2    | w1      |
-      | finishing "n1"                 | finishing "s2"                 | n1    | w1      |
-      | nothing                        | finishing "s2"                 | s2    | w1      |
+      | serving "n1", draining "n2"     | serving "s1"                   | n1    | n1      |
+      | draining "n2", draining_short_only "n1"   | serving "s1"                   | n2    | n2      |
+      | draining_short_only "n1"                 | serving "s1", draining "s2"     | s1    | s1      |
+      | draining_short_only "n1"                 | draining "s2"                   | s2    | w1      |
+      | draining_short_only "n1"                 | draining_short_only "s2"                 | n1    | w1      |
+      | nothing                        | draining_short_only "s2"                 | s2    | w1      |
       | nothing                        | nothing                        | w1    | w1      |
 
   Scenario: without any other VM, one that only finishes is named
-    Given the directory knows north with finishing "n1"
+    Given the directory knows north with draining_short_only "n1"
     Then a caller in north bound to "no region" is named "n1"
 
   # What a caller sees: it asks a VM that has just started, which knows itself and no other yet,
--- a/tests/steps/gateway/line_steps.py
+++ b/tests/steps/gateway/line_steps.py
@@ -33,7 +33,7 @@
     async def start():
         # Departures enough that nobody is refused a place in line.
         for _ in range(1_000):
-            context.line.policy.departed(clock.now())
+            context.line.policy.record_departure(clock.now())
         context.places = [context.line.policy.enter(1, ms, clock.now()) for _ in range(count)]
         context.began = anyio.current_time()
 
--- a/tests/steps/gateway/placing_steps.py
+++ b/tests/steps/gateway/placing_steps.py
@@ -183,7 +183,7 @@
 def step_nothing_left(context, limit):
     def nothing():
         return all(
-            (it.running, it.reading, it.holding, it.given, it.reading_given, it.holding_given)
+            (it.own_requests, it.own_prefill_tokens, it.own_held_tokens, it.granted_requests, it.granted_prefill_tokens, it.granted_held_tokens)
             == (0,) * 6
             for vm in context.rig.vms.values()
             for it in vm.knowledge.standings.values()
--- a/tests/steps/peers/decision_steps.py
+++ b/tests/steps/peers/decision_steps.py
@@ -21,7 +21,7 @@
 from hickorybeam.peers.search import new_incarnation
 from hickorybeam.peers.suspicion import Suspect, judge
 from hickorybeam.peers.view import MemberRecord, Roster, newer
-from hickorybeam.policy.entries import entry_order
+from hickorybeam.policy.entry_order import entry_order
 
 FIXED = settings(
     derandomize=True,
@@ -269,7 +269,7 @@
 def step_told(context, centre, allowed, order):
     regions = None if allowed == "unknown" else frozenset(allowed.split(","))
     told = entry_order(
-        context.vms, region="dakar", data_centre=centre, allowed=regions, spread="tour"
+        context.vms, region="dakar", data_centre=centre, allowed=regions, caller_key="tour"
     )
     assert [vm.data_centre for vm in told] == [
         name for name in order.split(",") for _ in range(2)
@@ -281,7 +281,7 @@
 def step_told_none(context, centre, allowed):
     regions = None if allowed == "unknown" else frozenset(allowed.split(","))
     assert (
-        entry_order(context.vms, region="dakar", data_centre=centre, allowed=regions, spread="tour")
+        entry_order(context.vms, region="dakar", data_centre=centre, allowed=regions, caller_key="tour")
         == ()
     )
 
@@ -298,7 +298,7 @@
             region="dakar",
             data_centre="dakar-1",
             allowed=frozenset({"dakar"}),
-            spread=f"tour/10.0.0.{caller}",
+            caller_key=f"tour/10.0.0.{caller}",
         )[0].id.name
         for caller in range(400)
     }
--- a/tests/steps/policy/come_back_steps.py
+++ b/tests/steps/policy/come_back_steps.py
@@ -2,14 +2,14 @@
 
 from behave import then, when
 
-from hickorybeam.policy.come_back import come_back_ms
+from hickorybeam.policy.retry_after import outage_retry_after_ms
 
 
 @then(
     "a caller with {left:d} ms left is told {told:d} ms when nothing could serve it for {away:d} ms"
 )
 def step_told(context, left, told, away):
-    assert come_back_ms(away_ms=away, settling_ms=0, left_ms=left) == told
+    assert outage_retry_after_ms(outage_ms=away, recovery_ms=0, left_ms=left) == told
 
 
 @then(
@@ -17,13 +17,13 @@
     " away for {away:d} ms"
 )
 def step_settling(context, left, told, settling, away):
-    assert come_back_ms(away_ms=away, settling_ms=settling, left_ms=left) == told
+    assert outage_retry_after_ms(outage_ms=away, recovery_ms=settling, left_ms=left) == told
 
 
 @when("{rate:d} callers a second with {left:d} ms left are refused for {seconds:d} s")
 def step_outage(context, rate, left, seconds):
     context.back_at = [
-        at + come_back_ms(away_ms=at, settling_ms=0, left_ms=left)
+        at + outage_retry_after_ms(outage_ms=at, recovery_ms=0, left_ms=left)
         for at in range(0, seconds * 1000, 1000 // rate)
     ]
 
--- a/tests/steps/policy/directory_steps.py
+++ b/tests/steps/policy/directory_steps.py
@@ -5,9 +5,9 @@
 from behave import given, then
 
 from hickorybeam.model.routing import GatewayVm
-from hickorybeam.policy.directory import RegionVms, vms_to_name
+from hickorybeam.policy.directory_listing import RegionVms, vms_to_list
 
-PART = re.compile(r'(serving|closing|finishing) "(\w+)"')
+PART = re.compile(r'(serving|draining_short_only|draining) "(\w+)"')
 
 
 def vm(name, region):
@@ -37,11 +37,11 @@
 @then('a caller in {region} bound to "{homes}" is named "{names}"')
 def step_named(context, region, homes, names):
     bound = [it.strip() for it in homes.split(",") if it != "no region"]
-    found = vms_to_name(
+    found = vms_to_list(
         region,
         homes=bound,
         regions=context.directory,
         vms_of=lambda it: context.directory.get(it, RegionVms()),
-        settled=context.settled,
+        fleet_known=context.settled,
     )
     assert (", ".join(it.name for it in found) or "nobody") == names, found
--- a/tests/steps/policy/gateway_decisions_steps.py
+++ b/tests/steps/policy/gateway_decisions_steps.py
@@ -14,9 +14,9 @@
 )
 from hickorybeam.policy.attempt_budget import AttemptBudget, RepeatBounds
 from hickorybeam.policy.cold_limit import ColdLimit, cold_owners
-from hickorybeam.policy.first_byte import first_byte_ms
+from hickorybeam.policy.first_byte_timeout import first_byte_timeout_ms
 from hickorybeam.policy.route_table import RouteTable, pick_target
-from hickorybeam.policy.server_choice import ServerStanding, choose_server, wait_ms
+from hickorybeam.policy.server_choice import ServerState, choose_server, expected_wait_ms
 
 NOW = 1_000_000
 
@@ -128,7 +128,7 @@
 @given('servers "{names}" that are idle')
 def step_servers(context, names):
     context.standings = {
-        name.strip(): ServerStanding(
+        name.strip(): ServerState(
             RegisteredServer(
                 id=name.strip(), service="m", host="h", port=1, data_centre="d", slots=8
             )
@@ -148,7 +148,7 @@
 
 def choose(standings, parts, tokens=0, now=NOW):
     return choose_server(
-        list(standings), parts=parts, tokens=tokens, now_ms=now, rng=random.Random(1)
+        list(standings), parts=parts, prompt_tokens=tokens, now_ms=now, rng=random.Random(1)
     ).server.id
 
 
@@ -172,7 +172,7 @@
 @when('the home of subject "{subject}" has {tokens:d} tokens to read')
 def step_home_busy(context, subject, tokens):
     context.home = choose(context.standings.values(), prompt(subject))
-    context.standings[context.home].reading = tokens
+    context.standings[context.home].own_prefill_tokens = tokens
 
 
 @then('a prompt of subject "{subject}" goes to another server')
@@ -184,7 +184,7 @@
 def step_fails(context, name, count):
     for number in range(count):
         standing = context.standings[name]
-        standing.failed() if number % 2 else standing.succeeded()
+        standing.record_failure() if number % 2 else standing.record_success()
 
 
 @then('{count:d} questions without shared parts go to others than "{name}"')
@@ -195,24 +195,24 @@
 
 @when('server "{name}" cannot be reached')
 def step_unreachable(context, name):
-    context.standings[name].unreachable(context.now)
+    context.standings[name].record_unreachable(context.now)
 
 
 @then('server "{name}" pauses for {ms:d} ms')
 def step_pauses(context, name, ms):
-    assert context.standings[name].paused_until_ms == context.now + ms
+    assert context.standings[name].backoff_until_ms == context.now + ms
 
 
 @when('its pause is over and server "{name}" cannot be reached')
 def step_again(context, name):
-    context.now = context.standings[name].paused_until_ms
-    context.standings[name].unreachable(context.now)
+    context.now = context.standings[name].backoff_until_ms
+    context.standings[name].record_unreachable(context.now)
 
 
 @when('its pause is over and server "{name}" answers')
 def step_answers(context, name):
-    context.now = context.standings[name].paused_until_ms
-    context.standings[name].succeeded()
+    context.now = context.standings[name].backoff_until_ms
+    context.standings[name].record_success()
 
 
 @given('server "{name}" is the only one in data centre "{centre}"')
@@ -225,7 +225,7 @@
     return choose_server(
         list(context.standings.values()),
         parts=parts,
-        tokens=tokens,
+        prompt_tokens=tokens,
         now_ms=context.now,
         rng=random.Random(1),
         data_centre=centre,
@@ -246,7 +246,7 @@
 @given('server "{name}" has {running:d} requests running and {waiting:d} waiting')
 @when('server "{name}" has {running:d} requests running and {waiting:d} waiting')
 def step_has(context, name, running, waiting):
-    context.standings[name].running = running + waiting
+    context.standings[name].own_requests = running + waiting
 
 
 @then('a question asked in "{centre}" goes to another server')
@@ -260,8 +260,8 @@
     standing = context.standings[name]
     context.waits = []
     for _ in range(count):
-        context.waits.append(wait_ms(standing, 800, context.now))
-        standing.failed() if rng.random() < 1 / share else standing.succeeded()
+        context.waits.append(expected_wait_ms(standing, 800, context.now))
+        standing.record_failure() if rng.random() < 1 / share else standing.record_success()
 
 
 @then('at most 1 in {share:d} of these found a wait over {ms:d} ms at "{name}"')
@@ -283,5 +283,5 @@
         target_ms=600,
         resumable=resumable == "yes",
     )
-    found = first_byte_ms(route, runs_left=left, foreseen_ms=foreseen)
+    found = first_byte_timeout_ms(route, attempts_left=left, expected_ms=foreseen)
     assert (str(found) if found is None else f"{found:g}") == patience, found
--- a/tests/steps/policy/late_work_steps.py
+++ b/tests/steps/policy/late_work_steps.py
@@ -4,8 +4,8 @@
 
 from behave import given, then, when
 
-from hickorybeam.policy.late_work import gives_way
-from hickorybeam.policy.wait_line import late_patience_ms
+from hickorybeam.policy.deferral import should_defer
+from hickorybeam.policy.wait_queue import max_deferral_ms
 
 LOOK_EVERY_MS = 25
 
@@ -15,7 +15,7 @@
     "{ahead:d} ms of reading and {own:d} ms of its own"
 )
 def step_waits(context, target, gone, waits, ahead, own):
-    found = gives_way(target_ms=target, gone_ms=gone, ahead_ms=ahead, reading_ms=own)
+    found = should_defer(target_ms=target, elapsed_ms=gone, backlog_ms=ahead, prefill_ms=own)
     assert found == (waits == "yes")
 
 
@@ -53,11 +53,11 @@
         for prompt in sorted(waiting, key=lambda it: -it.came_ms):
             ahead = max(0.0, free_ms - now)
             gone = now - prompt.came_ms
-            late = gives_way(
+            late = should_defer(
                 target_ms=context.target,
-                gone_ms=gone,
-                ahead_ms=ahead,
-                reading_ms=context.reading_ms,
+                elapsed_ms=gone,
+                backlog_ms=ahead,
+                prefill_ms=context.reading_ms,
             )
             if late and gone < patience_ms:
                 continue
@@ -93,4 +93,4 @@
     "with objective {target:d} ms, {gone:d} ms ago, and {left:d} ms left it waits up to {ms:d} ms"
 )
 def step_late_patience(context, target, gone, left, ms):
-    assert late_patience_ms(target_ms=target, elapsed_ms=gone, left_ms=left) == ms
+    assert max_deferral_ms(target_ms=target, elapsed_ms=gone, left_ms=left) == ms
--- a/tests/steps/policy/load_decisions_steps.py
+++ b/tests/steps/policy/load_decisions_steps.py
@@ -23,7 +23,7 @@
 
 
 def job(number, account="a", **more):
-    values = {"served": "m", "cost": COST, "arrived": 0, "deadline": 60_000}
+    values = {"served": "m", "cost": COST, "arrived_ms": 0, "deadline_ms": 60_000}
     return Job(id=number, account=account, **(values | more))
 
 
@@ -300,7 +300,7 @@
 
 @when('region "{region}" fails a call')
 def step_region_fails(context, region):
-    context.regions.failed(region, context.now)
+    context.regions.record_failure(region, context.now)
 
 
 @when('region "{region}" reports again {ms:d} ms later with {free:d} free tokens')
--- a/tests/steps/policy/placers_steps.py
+++ b/tests/steps/policy/placers_steps.py
@@ -5,7 +5,7 @@
 from behave import given, then
 from bench.load.many_vms import Pattern, play
 
-from hickorybeam.policy.placers import placers
+from hickorybeam.policy.coordinators import rank_coordinators
 
 SEED = 1
 play_once = cache(play)
@@ -18,20 +18,20 @@
 
 @then('they agree on an order of {count:d} VMs for service "{service}"')
 def step_agree(context, count, service):
-    order = placers(service, context.vms)
+    order = rank_coordinators(service, context.vms)
     assert len(order) == count
-    assert order == placers(service, dict(reversed(context.vms.items())))
+    assert order == rank_coordinators(service, dict(reversed(context.vms.items())))
 
 
 @then('without its first VM the order for "{service}" is the same otherwise')
 def step_next(context, service):
-    first, *rest = placers(service, context.vms)
-    assert placers(service, {it: 1.0 for it in context.vms if it != first}) == rest
+    first, *rest = rank_coordinators(service, context.vms)
+    assert rank_coordinators(service, {it: 1.0 for it in context.vms if it != first}) == rest
 
 
 @then('for "{one}" and "{other}" the order is not the same')
 def step_spread(context, one, other):
-    assert placers(one, context.vms) != placers(other, context.vms)
+    assert rank_coordinators(one, context.vms) != rank_coordinators(other, context.vms)
 
 
 @given('VM "{name}" has {times:g} times the processor of the others')
@@ -41,17 +41,17 @@
 
 @then('"{name}" places for every one of {count:d} services')
 def step_strong_places(context, name, count):
-    assert all(placers(str(it), context.vms)[0] == name for it in range(count))
+    assert all(rank_coordinators(str(it), context.vms)[0] == name for it in range(count))
 
 
 @then("each places for some of {count:d} services")
 def step_each_places(context, count):
-    assert {placers(str(it), context.vms)[0] for it in range(count)} == set(context.vms)
+    assert {rank_coordinators(str(it), context.vms)[0] for it in range(count)} == set(context.vms)
 
 
 @then('nobody places for "{service}"')
 def step_nobody(context, service):
-    assert placers(service, context.vms) == []
+    assert rank_coordinators(service, context.vms) == []
 
 
 @given(
--- a/tests/steps/policy/prefix_holders_steps.py
+++ b/tests/steps/policy/prefix_holders_steps.py
@@ -15,22 +15,22 @@
 def step_holders(context):
     context.holders, context.now = PrefixHolders(), 9_000
     for audience in ("near", "far"):
-        context.holders.news(audience)
+        context.holders.take_updates(audience)
 
 
 @when('prompt "{text}" is sent to "{server}"')
 def step_sent(context, text, server):
-    context.holders.sent(parts_of(text), server, context.now)
+    context.holders.record_sent(parts_of(text), server, context.now)
 
 
 @then('prompt "{text}" is held by nobody')
 def step_nobody(context, text):
-    assert context.holders.holder(parts_of(text), context.now) is None
+    assert context.holders.find_holder(parts_of(text), context.now) is None
 
 
 @then('prompt "{text}" is held by "{server}"')
 def step_held(context, text, server):
-    assert context.holders.holder(parts_of(text), context.now) == server
+    assert context.holders.find_holder(parts_of(text), context.now) == server
 
 
 @when("{ms:d} ms pass for the holders")
@@ -40,11 +40,11 @@
 
 @then('the news for {where} VMs is "{text}", once')
 def step_news(context, where, text):
-    found = context.holders.news(where)
+    found = context.holders.take_updates(where)
     assert ", ".join(f"{part}={server}" for part, server in found.items()) == text, found
-    assert context.holders.news(where) == {}
+    assert context.holders.take_updates(where) == {}
 
 
 @when('another VM tells "{text}"')
 def step_tells(context, text):
-    context.holders.heard(dict([text.split("=")]), context.now)
+    context.holders.merge(dict([text.split("=")]), context.now)
--- a/tests/steps/policy/stale_load_steps.py
+++ b/tests/steps/policy/stale_load_steps.py
@@ -7,7 +7,7 @@
 from behave import given, then
 from bench.load.stale_load import Pattern, play
 
-from hickorybeam.policy.stale_load import draw, fill_level
+from hickorybeam.policy.stale_load import draw_server, fill_level
 
 SEEDS = (1, 2, 3)
 
@@ -24,13 +24,13 @@
 @then('with waits "{waits}" and no unseen work server {index:d} is taken in {count:d} draws')
 def step_shortest(context, waits, index, count):
     rng = random.Random(1)
-    assert {draw(numbers(waits), 0.0, rng) for _ in range(count)} == {index}
+    assert {draw_server(numbers(waits), 0.0, rng) for _ in range(count)} == {index}
 
 
 @then('with waits "{waits}" and {work:g} ms of unseen work {count:d} draws come near "{shares}"')
 def step_shares(context, waits, work, count, shares):
     rng = random.Random(1)
-    found = Counter(draw(numbers(waits), work, rng) for _ in range(count))
+    found = Counter(draw_server(numbers(waits), work, rng) for _ in range(count))
     for index, expected in enumerate(numbers(shares)):
         assert abs(found[index] - expected) <= expected / 5, found
 
--- a/tests/steps/policy/wait_line_steps.py
+++ b/tests/steps/policy/wait_line_steps.py
@@ -4,16 +4,16 @@
 
 from behave import given, then, when
 
-from hickorybeam.policy.wait_line import WaitLine, patience_ms
+from hickorybeam.policy.wait_queue import WaitQueue, max_queue_wait_ms
 
 NOW = 50_000
 
 
 @given("a wait line where {rate:d} places come free each second")
 def step_line(context, rate):
-    context.line, context.rate, context.now = WaitLine(), rate, NOW
+    context.line, context.rate, context.now = WaitQueue(), rate, NOW
     for number in range(rate):
-        context.line.departed(NOW - 1000 + (number + 1) * 1000 // rate)
+        context.line.record_departure(NOW - 1000 + (number + 1) * 1000 // rate)
 
 
 @when('requests of urgency "{urgencies}" wait')
@@ -51,7 +51,7 @@
 def step_in_time(context, limit):
     for number, place in enumerate(context.line.first(99), start=1):
         assert number * 1000 / context.rate <= limit
-        assert place.due_ms <= context.now + limit
+        assert place.expires_ms <= context.now + limit
 
 
 @then("a request of urgency {urgency:d} with patience {patience:d} ms may wait")
@@ -73,12 +73,12 @@
 
 @then("a request with objective {target:d} ms, asked {elapsed:d} ms ago, waits up to {ms:d} ms")
 def step_patience(context, target, elapsed, ms):
-    assert patience_ms(target_ms=target, elapsed_ms=elapsed) == ms
+    assert max_queue_wait_ms(target_ms=target, elapsed_ms=elapsed) == ms
 
 
 @when("{count:d} callers are refused at once, who can be told {most:d} ms at most")
 def step_told(context, count, most):
-    context.told = [context.line.come_back_ms(5, most, context.now) for _ in range(count)]
+    context.told = [context.line.retry_after_ms(5, most, context.now) for _ in range(count)]
 
 
 @then("the first comes back within {first:d} ms and no two within {apart:d} ms, up to {most:d} ms")
