--- a/bench/load/world.py
+++ b/bench/load/world.py
@@ -20,7 +20,7 @@
 from hickorybeam.policy.fair_queue import share_weight
 from hickorybeam.policy.job import Job, Outcome, Reason, Recall, Refuse, Spill, Start
 from hickorybeam.policy.profile import profile_named
-from hickorybeam.policy.retry import MOST_ATTEMPTS, RetryBudget, backoff_ms
+from hickorybeam.policy.retry import MAX_ATTEMPTS, RetryBudget, backoff_ms
 from hickorybeam.policy.scheduler import Scheduler
 
 if TYPE_CHECKING:
@@ -196,7 +196,7 @@
         )
         request.idle_slots = self._idle_slots()
         vm = vms[index]
-        vm.budget.first_attempt()
+        vm.budget.record_first_attempt()
         self.at(self.now + request.source.deadline, lambda: self._leave(request))
         self._offer(vm, job, request, None)
 
@@ -362,7 +362,7 @@
         request, _ = vm.jobs.get(recall.job.id, (None, None))
         if request is None or request.work is None or request.first:
             return
-        if request.attempts >= MOST_ATTEMPTS or not vm.budget.take():
+        if request.attempts >= MAX_ATTEMPTS or not vm.budget.take():
             return
         request.work.gone = True
         request.tried |= {recall.backend}
@@ -376,7 +376,7 @@
         if request.outcome:
             return
         budget_left = not isinstance(vm.sched, Scheduler) or vm.budget.take()
-        if request.attempts >= MOST_ATTEMPTS or not budget_left:
+        if request.attempts >= MAX_ATTEMPTS or not budget_left:
             self._close(request, "failed", "attempts" if budget_left else "budget")
             return
         pause = backoff_ms(0, vm.rng)
--- a/bench/placing_cost.py
+++ b/bench/placing_cost.py
@@ -23,7 +23,7 @@
 from hickorybeam.gateway.queueing import Queueing
 from hickorybeam.model.routing import RegisteredServer
 from hickorybeam.policy.prefix_holders import PrefixHolders
-from hickorybeam.policy.shutdown import Shutdown
+from hickorybeam.policy.shutdown import ShutdownSchedule
 
 SERVERS = (12, 35, 67, 200)
 PROMPTS = 2_000
@@ -63,7 +63,7 @@
     )
     lines = Lines(clock)
     placing = Placing(
-        shutdown=Shutdown(8_000), clock=clock, knowledge=knowledge, fleet=fleet, lines=lines
+        shutdown=ShutdownSchedule(8_000), clock=clock, knowledge=knowledge, fleet=fleet, lines=lines
     )
     queueing = Queueing(clock=clock, lines=lines, placing=placing)
     grants = Grants(clock=clock, fleet=fleet, placing=placing, queueing=queueing)
--- a/src/hickorybeam/dispatch/attempts.py
+++ b/src/hickorybeam/dispatch/attempts.py
@@ -13,7 +13,7 @@
 from hickorybeam.kernel import Reply
 from hickorybeam.model import AnswerChunk, AnswerEnd, AnswerHead, VmState
 from hickorybeam.policy.job import Outcome, Refuse, Spill, Start
-from hickorybeam.policy.retry import MOST_ATTEMPTS, RetryDenied, backoff_ms, may_repeat
+from hickorybeam.policy.retry import MAX_ATTEMPTS, RetryDenied, backoff_ms, may_retry
 
 if TYPE_CHECKING:
     import random
@@ -233,9 +233,9 @@
     def _denied(self, exc: GatewayError) -> RetryDenied | None:
         if self._running.begun:
             return RetryDenied.ANSWER_BEGUN
-        if not may_repeat(exc, idempotent=self._running.call.idempotent):
+        if not may_retry(exc, idempotent=self._running.call.idempotent):
             return RetryDenied.NOT_REPEATABLE
-        if self._count >= MOST_ATTEMPTS:
+        if self._count >= MAX_ATTEMPTS:
             return RetryDenied.ATTEMPTS
         self._pause = backoff_ms(self._pause, self._near.rng)
         if self._near.clock.now() + self._pause >= self._deadline:
--- a/src/hickorybeam/dispatch/metrics.py
+++ b/src/hickorybeam/dispatch/metrics.py
@@ -6,7 +6,7 @@
 from dataclasses import asdict, dataclass
 from typing import TYPE_CHECKING
 
-from hickorybeam.policy.health import Standing
+from hickorybeam.policy.health import HealthState
 
 if TYPE_CHECKING:
     from hickorybeam.policy.scheduler import Scheduler
@@ -71,7 +71,7 @@
                 gauge.remove(name)
         self._shown = set(limits)
         for name, limit in limits.items():
-            ejected = table.health.standing(name) is Standing.EJECTED
+            ejected = table.health.state(name) is HealthState.EJECTED
             self._limit.labels(name).set(limit)
             self._in_flight.labels(name).set(in_flight[name])
             self._ejected.labels(name).set(ejected)
--- a/src/hickorybeam/dispatch/service.py
+++ b/src/hickorybeam/dispatch/service.py
@@ -137,7 +137,7 @@
             "waiting": {n: {"calls": jobs, "tokens": t} for n, (jobs, t) in waiting.items()},
             "limits": dict(table.limits()),
             "in_flight": dict(table.in_flight()),
-            "standing": {name: table.health.standing(name).name for name in table.names()},
+            "standing": {name: table.health.state(name).name for name in table.names()},
             "retries_left": self._retries.left,
             "accounts": self._explanations.as_dict(),
         }
@@ -175,7 +175,7 @@
         self._running.add(running)
         try:
             await running.wait(spend.take())
-            self._retries.first_attempt()
+            self._retries.record_first_attempt()
             decision = await self._decide(running, job)
             self._note(job, decision)
             if isinstance(decision, Refuse):
--- a/src/hickorybeam/gateway/cold_asking.py
+++ b/src/hickorybeam/gateway/cold_asking.py
@@ -13,7 +13,7 @@
 from hickorybeam.http1.head import request_bytes
 from hickorybeam.kernel import Service
 from hickorybeam.platform import decode_answer
-from hickorybeam.policy.cold_watch import ASK_EVERY_MS, servers_to_ask
+from hickorybeam.policy.cold_health_checks import HEALTH_CHECK_INTERVAL_MS, servers_to_check
 from hickorybeam.ports import COLD_ASKING, FEED, FLEET
 from hickorybeam.telemetry.decisions import DecisionLog
 
@@ -53,7 +53,7 @@
         """Ask until cancelled."""
         started()
         while True:
-            await self._clock.sleep(ASK_EVERY_MS)
+            await self._clock.sleep(HEALTH_CHECK_INTERVAL_MS)
             if self._feed.follows or self._fleet.told_beside():
                 continue
             async with anyio.create_task_group() as tg:
@@ -74,7 +74,7 @@
             for it in knowledge.servers(service)
             if self._fleet.is_here(it.server.data_centre)
         }
-        mine = servers_to_ask(
+        mine = servers_to_check(
             self._fleet.me.name, servers=here, vms=self._fleet.who_places.serving()
         )
         return [here[name] for name in mine]
--- a/src/hickorybeam/gateway/feed.py
+++ b/src/hickorybeam/gateway/feed.py
@@ -245,7 +245,7 @@
         if self._behind_since_ms is None:
             self._behind_since_ms, self._missing = now_ms, revision
         rests = 2 if self.watches else 1
-        if now_ms - self._behind_since_ms > BEHIND_MS + rests * self._store.watch_rest_ms:
+        if now_ms - self._behind_since_ms > BEHIND_MS + rests * self._store.watch_pause_ms:
             logging.info("another VM knows of change %d, reading anew", revision)
             self._behind_since_ms = None
             self._loaded = False
--- a/src/hickorybeam/gateway/figures.py
+++ b/src/hickorybeam/gateway/figures.py
@@ -34,7 +34,7 @@
 
     def spends(self, *, whole: bool) -> dict[str, float]:
         """Return totals by account."""
-        now = {name: round(total, 1) for name, total in self._quota.totals().items()}
+        now = {name: round(total, 1) for name, total in self._quota.spent_totals().items()}
         if whole:
             return now
         before, self._spends_told = self._spends_told, now
--- a/src/hickorybeam/gateway/fleet.py
+++ b/src/hickorybeam/gateway/fleet.py
@@ -29,17 +29,17 @@
 from hickorybeam.kernel import Service
 from hickorybeam.model.routing import GatewayVm
 from hickorybeam.policy.fleet_quota import FleetQuota
-from hickorybeam.policy.pacing import (
-    gone_after_ms,
-    near_every_ms,
-    out_of_step_ms,
-    outside_every_ms,
-    watch_rest_ms,
-    watch_wait_ms,
-    watcher_gone_after_ms,
+from hickorybeam.policy.report_intervals import (
+    peer_timeout_ms,
+    local_report_interval_ms,
+    jittered_interval_ms,
+    remote_report_interval_ms,
+    watch_pause_ms,
+    watch_poll_timeout_ms,
+    watcher_timeout_ms,
 )
 from hickorybeam.policy.prefix_holders import PrefixHolders
-from hickorybeam.policy.watchers import watchers_of, watches_itself
+from hickorybeam.policy.watchers import count_watchers, should_watch
 from hickorybeam.ports import FEED, FLEET, PLATFORM
 from hickorybeam.sockets import bound_socket
 from hickorybeam.store import PacedPlatform, WatchBatch
@@ -253,12 +253,12 @@
 
     async def _talk_near(self) -> None:
         while True:
-            await self._clock.sleep(near_every_ms(len(self.peers.near())))
+            await self._clock.sleep(local_report_interval_ms(len(self.peers.near())))
             now = self._clock.now()
             self.peers.prune()
             self.who_places.look_again()
             self._adapt()
-            self.quota.reach(1 + self.peers.spending_together(), self.known(), now)
+            self.quota.set_live_vms(1 + self.peers.spending_together(), self.known(), now)
             heard = [it for it in self.peers.by_name.values() if self.peers.is_heard(it)]
             spread(self._feed.knowledge, heard, me=self.me.name)
             self._tell_near()
@@ -266,23 +266,23 @@
     async def _talk_outside(self) -> None:
         while True:
             young = not self.settled()
-            every_ms = outside_every_ms(self.known(), young=young)
-            await self._clock.sleep(out_of_step_ms(every_ms, self._rng))
+            every_ms = remote_report_interval_ms(self.known(), just_started=young)
+            await self._clock.sleep(jittered_interval_ms(every_ms, self._rng))
             self._tell_outside()
 
     def _adapt(self) -> None:
         """Fit intervals to the fleet's size, and watch the store or leave it to others."""
-        near, watching = len(self.peers.near()), watchers_of(self.peers.centres())
-        self.peers.heard_limit_ms = gone_after_ms(near=near, vms=self.known())
-        self.quota.silent_ms = self.peers.spends_alone_after_ms()
-        self._store.watch_rest_ms = watch_rest_ms(watching)
-        self._store.watch_wait_ms = watch_wait_ms(watching)
-        self._feed.watch_itself(watches_itself(self.me.name, self._heard_near()))
+        near, watching = len(self.peers.near()), count_watchers(self.peers.centres())
+        self.peers.heard_limit_ms = peer_timeout_ms(local_peers=near, vms=self.known())
+        self.quota.peer_timeout_ms = self.peers.spends_alone_after_ms()
+        self._store.watch_pause_ms = watch_pause_ms(watching)
+        self._store.watch_poll_timeout_ms = watch_poll_timeout_ms(watching)
+        self._feed.watch_itself(should_watch(self.me.name, self._heard_near()))
         self.region_lag_ms = self.peers.region_lag_ms()
 
     def _heard_near(self) -> dict[str, bool]:
         """Return the VMs of this data centre that are relied on, and whether each watches."""
-        return self.peers.heard_near(watcher_gone_after_ms(len(self.peers.near())))
+        return self.peers.heard_near(watcher_timeout_ms(len(self.peers.near())))
 
     def _tell_near(self) -> None:
         """Tell every VM of this data centre, with what those outside told this one."""
@@ -403,7 +403,7 @@
             peer.forecasts = tell.forecasts
         younger = tell.up_ms < now - self._started_ms
         life = f"{tell.name}/{tell.incarnation}"
-        self.quota.heard(life, tell.spent, now, younger=younger)
+        self.quota.apply_totals(life, tell.spent, now, started_later=younger)
         self._settle_in(tell, peer, now)
         return peer
 
@@ -418,7 +418,7 @@
         up_ms = now_ms - self._started_ms
         if tell.levels is not None and self._fresh and tell.up_ms > up_ms:
             self._fresh = False
-            self.quota.adopt(tell.levels, now_ms)
+            self.quota.adopt_levels(tell.levels, now_ms)
         if self._fresh and up_ms > YOUNG_MS:
             self._fresh = False
         if tell.fresh and tell.up_ms < up_ms:
--- a/src/hickorybeam/gateway/knowledge.py
+++ b/src/hickorybeam/gateway/knowledge.py
@@ -7,7 +7,7 @@
 from absl import logging
 
 from hickorybeam.model.routing import CallerRules, RoutingConfig
-from hickorybeam.policy.cold_limit import ColdLimit
+from hickorybeam.policy.cold_limit import ColdServerLimiter
 from hickorybeam.policy.route_table import RouteTable
 from hickorybeam.policy.server_choice import ServerStanding
 
@@ -27,7 +27,7 @@
         self.evacuated: frozenset[str] = frozenset()
         self._by_service: dict[str, dict[str, ServerStanding]] = {}
         self._cold_until: dict[str, int] = {}
-        self._cold: dict[str, ColdLimit] = {}
+        self._cold: dict[str, ColdServerLimiter] = {}
 
     def callers(self) -> CallerRules:
         """Return the limits on callers that are in force."""
@@ -77,13 +77,13 @@
         """Whether a server is still cold."""
         return now_ms < self._cold_until.get(server_id, 0)
 
-    def cold_limit(self, server: RegisteredServer, now_ms: int) -> ColdLimit:
+    def cold_limit(self, server: RegisteredServer, now_ms: int) -> ColdServerLimiter:
         """Return this VM's part of what a cold server may get."""
         limit = self._cold.get(server.id)
         if limit is None:
             spec = self.config.services.get(server.service) if self.config else None
             per_s = spec.cold_per_s if spec else 0.0
-            limit = self._cold[server.id] = ColdLimit(per_s=per_s, now_ms=now_ms)
+            limit = self._cold[server.id] = ColdServerLimiter(rate_per_s=per_s, now_ms=now_ms)
         return limit
 
     def servers(self, service: str) -> list[ServerStanding]:
--- a/src/hickorybeam/gateway/path.py
+++ b/src/hickorybeam/gateway/path.py
@@ -21,8 +21,8 @@
 from hickorybeam.gateway.sending import Sending
 from hickorybeam.model.routing import Repeat
 from hickorybeam.platform import decode_call
-from hickorybeam.policy.attempt_budget import AttemptBudget, RepeatBounds
-from hickorybeam.policy.shutdown import Shutdown
+from hickorybeam.policy.fleet_retry_budget import FleetRetryBudget, FleetRetryLimits
+from hickorybeam.policy.shutdown import ShutdownSchedule
 
 if TYPE_CHECKING:
     from hickorybeam.clock import Clock
@@ -66,7 +66,7 @@
         self._knowledge = feed.knowledge
         self._started_ms = clock.now()
         self._fleet = fleet
-        self._budgets: dict[str, AttemptBudget] = {}
+        self._budgets: dict[str, FleetRetryBudget] = {}
         self._lines = Lines(clock)
         self._admission = Admission(clock=clock, knowledge=feed.knowledge, quota=fleet.quota)
         self._placing = Placing(
@@ -116,7 +116,7 @@
         except GatewayError as exc:
             self._endings.refuse(call, reply, exc)
             return
-        self._budget(errand.service).earn(self._clock.now(), self._fleet.known())
+        self._budget(errand.service).record_request(self._clock.now(), self._fleet.known())
         await self.serve(errand, reply)
 
     async def serve(self, errand: Errand, reply: Reply, *, here_only: bool = False) -> None:
@@ -241,10 +241,10 @@
         exc = GatewayError(ErrorKind.OVERLOADED, retry_after_ms=after_ms)
         self._endings.refuse(errand.call, progress.reply, exc, progress)
 
-    def _budget(self, service: str) -> AttemptBudget:
+    def _budget(self, service: str) -> FleetRetryBudget:
         budget = self._budgets.get(service)
         if budget is None:
-            budget = self._budgets[service] = AttemptBudget(bounds_of(self._cfg))
+            budget = self._budgets[service] = FleetRetryBudget(bounds_of(self._cfg))
         return budget
 
     def forecasts(self) -> dict[str, RegionFigures]:
@@ -256,7 +256,7 @@
         self._cfg = cfg
         self._placing.shutdown = shutdown_of(cfg)
         for budget in self._budgets.values():
-            budget.change(bounds_of(cfg))
+            budget.reconfigure(bounds_of(cfg))
 
     def take_until(self, ends_ms: int) -> None:
         """Take only requests whose deadline lies before the end of this process."""
@@ -267,14 +267,14 @@
         self._admission.draining = True
 
 
-def shutdown_of(cfg: GatewaySettings) -> Shutdown:
+def shutdown_of(cfg: GatewaySettings) -> ShutdownSchedule:
     """Return the times of a shutdown that the settings give."""
-    return Shutdown(cfg.grace_s * MS_PER_SECOND)
+    return ShutdownSchedule(cfg.grace_s * MS_PER_SECOND)
 
 
-def bounds_of(cfg: GatewaySettings) -> RepeatBounds:
+def bounds_of(cfg: GatewaySettings) -> FleetRetryLimits:
     """Return the bounds on repeats that the settings give."""
-    return RepeatBounds(
+    return FleetRetryLimits(
         ratio=cfg.repeat_ratio,
         allowance=cfg.repeat_allowance,
         window_ms=round(cfg.repeat_window_s * MS_PER_SECOND),
--- a/src/hickorybeam/gateway/peers.py
+++ b/src/hickorybeam/gateway/peers.py
@@ -10,12 +10,12 @@
 from absl import logging
 
 from hickorybeam.model.routing import GatewayVm
-from hickorybeam.policy.pacing import (
-    LEAST_HEARD_MS,
-    near_every_ms,
-    outside_every_ms,
-    quiet_after_ms,
-    spends_alone_after_ms,
+from hickorybeam.policy.report_intervals import (
+    MIN_PEER_TIMEOUT_MS,
+    local_report_interval_ms,
+    remote_report_interval_ms,
+    isolation_timeout_ms,
+    quota_peer_timeout_ms,
 )
 
 if TYPE_CHECKING:
@@ -39,7 +39,7 @@
     vm: GatewayVm
     known_ms: int
     registered: bool = True
-    heard_ms: int = -LEAST_HEARD_MS
+    heard_ms: int = -MIN_PEER_TIMEOUT_MS
     leaving: bool = False
     leaving_since_ms: int = 0
     follows: bool = False
@@ -77,7 +77,7 @@
     def __init__(self, clock: Clock, me: GatewayVm) -> None:
         self._clock = clock
         self._me = me
-        self.heard_limit_ms = LEAST_HEARD_MS
+        self.heard_limit_ms = MIN_PEER_TIMEOUT_MS
         self.by_name: dict[str, Peer] = {}
 
     def heard(self) -> int:
@@ -88,14 +88,14 @@
         """Return how many VMs are heard well enough to share the accounts' rates with them."""
         now = self._clock.now()
         heard = [now - it.heard_ms for it in self.by_name.values()]
-        if min(heard, default=0) > quiet_after_ms(len(self.near())):
+        if min(heard, default=0) > isolation_timeout_ms(len(self.near())):
             return 0
         limit_ms = self.spends_alone_after_ms()
         return sum(ago_ms < limit_ms for ago_ms in heard)
 
     def spends_alone_after_ms(self) -> int:
         """Return after which silence a VM of this fleet counts as spending by itself."""
-        return spends_alone_after_ms(near=len(self.near()), vms=1 + self.known())
+        return quota_peer_timeout_ms(local_peers=len(self.near()), vms=1 + self.known())
 
     def is_heard(self, peer: Peer) -> bool:
         """Whether a VM was heard lately."""
@@ -156,8 +156,8 @@
             if self.here(peer) and peer.heard(now, self.heard_limit_ms):
                 beside = peer.vm.data_centre == self._me.data_centre
                 near, aside = near + beside, aside + (not beside)
-        every_ms = near_every_ms(near)
-        return near * every_ms + aside * (outside_every_ms(1 + self.known()) + every_ms)
+        every_ms = local_report_interval_ms(near)
+        return near * every_ms + aside * (remote_report_interval_ms(1 + self.known()) + every_ms)
 
     def centres(self) -> Counter[str]:
         """Return how many VMs each data centre has, this one included."""
--- a/src/hickorybeam/gateway/placing.py
+++ b/src/hickorybeam/gateway/placing.py
@@ -34,8 +34,8 @@
     from hickorybeam.gateway.place_asking import Grant
     from hickorybeam.gateway.tell import RegionFigures
     from hickorybeam.model.routing import RelayCall
-    from hickorybeam.policy.cold_limit import ColdLimit
-    from hickorybeam.policy.shutdown import Shutdown
+    from hickorybeam.policy.cold_limit import ColdServerLimiter
+    from hickorybeam.policy.shutdown import ShutdownSchedule
 
 __all__ = ("Full", "Nowhere", "OpenTargets", "Placing", "size_of")
 
@@ -103,7 +103,7 @@
     def __init__(
         self,
         *,
-        shutdown: Shutdown,
+        shutdown: ShutdownSchedule,
         clock: Clock,
         knowledge: Knowledge,
         fleet: FleetService,
@@ -294,7 +294,7 @@
         owners = self._fleet.who_places.warming(standing.server)
         return self._fleet.me.name in owners and self._cold_limit(standing, now_ms).ready(now_ms)
 
-    def _cold_limit(self, standing: ServerStanding, now_ms: int) -> ColdLimit:
+    def _cold_limit(self, standing: ServerStanding, now_ms: int) -> ColdServerLimiter:
         return self._knowledge.cold_limit(standing.server, now_ms)
 
     def _choose_away(self, errand: Errand, targets: OpenTargets) -> tuple[ToPeer, float] | None:
@@ -333,7 +333,7 @@
         return [
             it
             for it in self._fleet.elsewhere(errand.service, leaving=True)
-            if self.shutdown.finishes(since_ms=now - it.peer.leaving_since_ms, left_ms=left_ms)
+            if self.shutdown.accepts(since_ms=now - it.peer.leaving_since_ms, left_ms=left_ms)
         ]
 
     def _allowed(self, errand: Errand, region: str) -> bool:
--- a/src/hickorybeam/gateway/relay.py
+++ b/src/hickorybeam/gateway/relay.py
@@ -157,13 +157,13 @@
         begun = self._clock.now()
         self._leaving = True
         times = shutdown_of(self._gateway)
-        end = begun + times.end_ms
+        end = begun + times.finish_by_ms
         for server in self._servers:
             server.closing = True
         await self._fleet.leave()
-        await self._until(begun + times.serve_on_ms)
+        await self._until(begun + times.accept_all_until_ms)
         self._path.take_until(round(end))
-        await self._until(begun + times.accept_on_ms)
+        await self._until(begun + times.accept_until_ms)
         self._path.drain()
         for server in self._servers:
             server.stop_accepting()
@@ -249,9 +249,9 @@
         leaving = self._fleet.leaving_vms(region)
         return RegionVms(
             serving=self._fleet.region_vms(region),
-            closing=[vm for vm, for_ms in leaving if for_ms < times.serve_on_ms],
+            closing=[vm for vm, for_ms in leaving if for_ms < times.accept_all_until_ms],
             finishing=[
-                vm for vm, for_ms in leaving if times.serve_on_ms <= for_ms < times.accept_on_ms
+                vm for vm, for_ms in leaving if times.accept_all_until_ms <= for_ms < times.accept_until_ms
             ],
         )
 
--- a/src/hickorybeam/gateway/who_places.py
+++ b/src/hickorybeam/gateway/who_places.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from hickorybeam.policy.cold_limit import OWNERS, cold_owners
+from hickorybeam.policy.cold_limit import OWNERS_PER_COLD_SERVER, cold_server_owners
 from hickorybeam.policy.placers import placers
 
 if TYPE_CHECKING:
@@ -51,7 +51,7 @@
         Where one VM places for all, it is one of them: others would hardly ever be asked to.
         """
         order = self.order(server.service)
-        return order[:OWNERS] if order else cold_owners(server.id, self.serving())
+        return order[:OWNERS_PER_COLD_SERVER] if order else cold_server_owners(server.id, self.serving())
 
     def serving(self) -> list[str]:
         """Return the names of the VMs of this region, this one included."""
--- a/src/hickorybeam/once/claims.py
+++ b/src/hickorybeam/once/claims.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from hickorybeam.errors import ErrorKind, GatewayError, Ran
-from hickorybeam.policy.at_most_once import Claim, Refused, claim_verdict
+from hickorybeam.policy.at_most_once import Claim, Refused, decide_claim
 from hickorybeam.policy.token_bucket import TokenBucket
 from hickorybeam.store.port import Compare, Delete, KeyValue, Put
 
@@ -102,7 +102,7 @@
         await self._write_at(name, revision, Delete(name))
 
     def _judge(self, held: Claim, attempt: str, content: str) -> None:
-        verdict = claim_verdict(
+        verdict = decide_claim(
             held,
             me=self._me,
             attempt=attempt,
--- a/src/hickorybeam/once/service.py
+++ b/src/hickorybeam/once/service.py
@@ -20,7 +20,7 @@
 from hickorybeam.policy.at_most_once import (
     Claim,
     ClaimState,
-    KeyTable,
+    IdempotencyKeyTable,
     Refused,
     Replay,
     fingerprint,
@@ -81,7 +81,7 @@
         self._cfg = cfg
         self._clock = clock
         self._counters = counters
-        self._table = KeyTable(limit=MOST_KEYS, answer_bytes=MOST_ANSWER_BYTES)
+        self._table = IdempotencyKeyTable(limit=MOST_KEYS, answer_bytes=MOST_ANSWER_BYTES)
         self._jobs: Mailbox[tuple[Attempt, _Held]] = Mailbox()
         self._running = 0
         self._members: ports.Members | None = None
@@ -217,7 +217,7 @@
             case Ending.NOT_RUN:
                 self._table.release(held.name)
             case Ending.UNKNOWN:
-                self._table.lose(held.name)
+                self._table.mark_unknown(held.name)
 
     async def _settle(self, attempt: Attempt, held: _Held, ending: Ending) -> None:
         """Tell the platform; unheard, the claim stands as running, and nobody runs it again."""
--- a/src/hickorybeam/platform/store.py
+++ b/src/hickorybeam/platform/store.py
@@ -72,8 +72,8 @@
     """
 
     name: ClassVar[str] = PLATFORM
-    watch_wait_ms: int = WATCH_WAIT_MS
-    watch_rest_ms: int = 0
+    watch_poll_timeout_ms: int = WATCH_WAIT_MS
+    watch_pause_ms: int = 0
 
     def __init__(self, *, cfg: Settings, clock: Clock, counters: Counters) -> None:
         self._address = split_address(cfg.platform.urls[0].removeprefix("http://"))
@@ -162,10 +162,10 @@
                 yield batch
             # Once for each call: a backlog of many changes would take as many rests.
             if reply.get("events"):
-                await self._clock.sleep(self.watch_rest_ms)
+                await self._clock.sleep(self.watch_pause_ms)
 
     async def _watch_once(self, prefix: str, after: int) -> tuple[int, Mapping[str, Any]]:
-        wait_ms = self.watch_wait_ms
+        wait_ms = self.watch_poll_timeout_ms
         path = f"/kv-watch?prefix={quote(prefix, safe='/')}&after={after}&wait-ms={wait_ms}"
         waiting = _WaitingWatch(anyio.CancelScope(), self._clock.now())
         self._waiting.add(waiting)
--- a/src/hickorybeam/policy/admission.py
+++ b/src/hickorybeam/policy/admission.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     import random
 
-__all__ = ("WaitBound", "retry_after_ms")
+__all__ = ("WaitLimit", "retry_after_ms")
 
 SHORTEST_RETRY_MS = 250
 LONGEST_RETRY_MS = 30_000
@@ -25,27 +25,27 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WaitBound:
+class WaitLimit:
     """How long a job may wait: the profile's bound or its own deadline, if nearer.
 
-    :param longest: the profile's bound in ms.
-    :param left: ms to the job's deadline.
-    :param first_token: ms from its start to its first token, forecast.
+    :param max_wait_ms: the profile's bound in ms.
+    :param remaining_ms: ms to the job's deadline.
+    :param first_token_ms: ms from its start to its first token, forecast.
     """
 
-    longest: float
-    left: float
-    first_token: float
+    max_wait_ms: float
+    remaining_ms: float
+    first_token_ms: float
 
     @property
-    def deadline_decides(self) -> bool:
+    def limited_by_deadline(self) -> bool:
         """Whether the deadline is the nearer bound."""
-        return self.left - self.first_token < self.longest
+        return self.remaining_ms - self.first_token_ms < self.max_wait_ms
 
     @property
     def ms(self) -> float:
         """The bound itself; below 0 when even a start now would be too late."""
-        return min(self.longest, self.left - self.first_token)
+        return min(self.max_wait_ms, self.remaining_ms - self.first_token_ms)
 
 
 def retry_after_ms(wait: float, bound: float, rng: random.Random) -> int:
--- a/src/hickorybeam/policy/at_most_once.py
+++ b/src/hickorybeam/policy/at_most_once.py
@@ -26,12 +26,12 @@
 __all__ = (
     "Claim",
     "ClaimState",
-    "KeyTable",
+    "IdempotencyKeyTable",
     "Record",
     "Refused",
     "Replay",
     "Start",
-    "claim_verdict",
+    "decide_claim",
     "fingerprint",
 )
 
@@ -92,7 +92,7 @@
         self.parts: tuple[AnswerPart, ...] | None = None
 
 
-class KeyTable:
+class IdempotencyKeyTable:
     """The keys that this VM's incarnation ran or runs.
 
     :param limit: how many keys are remembered at most.
@@ -141,7 +141,7 @@
             self._sizes[key] = size
             record.parts = parts
 
-    def lose(self, key: str) -> None:
+    def mark_unknown(self, key: str) -> None:
         """Note that an attempt may have run, with what outcome is not known."""
         self._records[key].state = ClaimState.UNKNOWN
 
@@ -176,7 +176,7 @@
                 return Refused(ErrorKind.IDEMPOTENCY_FINISHED, f"status {record.status}")
 
 
-def claim_verdict(
+def decide_claim(
     claim: Claim, *, me: VmId, attempt: str, content: str, owner_alive: bool
 ) -> Start | Refused:
     """Decide on a key that is claimed in the platform.
--- a/src/hickorybeam/policy/backend_table.py
+++ b/src/hickorybeam/policy/backend_table.py
@@ -7,8 +7,8 @@
 from typing import TYPE_CHECKING
 
 from hickorybeam.policy.backend_choice import Candidate, OthersLoad, choose
-from hickorybeam.policy.concurrency import AdaptiveLimit, long_slots
-from hickorybeam.policy.drain import takes_new_work
+from hickorybeam.policy.concurrency import AdaptiveLimit, max_long_jobs
+from hickorybeam.policy.drain import accepts_new_work
 from hickorybeam.policy.health import HealthTable
 from hickorybeam.policy.job import Outcome
 
@@ -85,13 +85,13 @@
         for name, spec in wanted.items():
             known = self._servers.get(name)
             if known is None or known.spec.slots != spec.slots:
-                limit = AdaptiveLimit(slots=spec.slots, sharing=self._sharing)
+                limit = AdaptiveLimit(slots=spec.slots, sender_count=self._sharing)
                 self._servers.setdefault(name, Server(spec, limit)).limit = limit
             self._servers[name].spec = spec
         for name in [name for name in self._servers if name not in wanted]:
             if not self._servers[name].runs:
                 del self._servers[name]
-        self.health.keep(self._servers)
+        self.health.retain(self._servers)
         pools: dict[str, list[str]] = {}
         for name, spec in wanted.items():
             for served in spec.serves:
@@ -117,7 +117,7 @@
         reported = report.running + report.waiting
         server.others.heard(reported - requests, report.tokens_in_flight - tokens, as_of)
         if report.waiting > QUEUE_SHARE * server.spec.slots:
-            server.limit.congested(report.at_ms)
+            server.limit.record_congestion(report.at_ms)
 
     def capacity(self, served: str, now: int) -> float:
         """Return the rated tokens a second of a pool, less what health takes off."""
@@ -136,7 +136,7 @@
 
     def next_try(self, served: str, now: int) -> float:
         """Return ms until some server of a pool may get work."""
-        return self.health.next_try(self.pool(served), now)
+        return self.health.ms_until_available(self.pool(served), now)
 
     def free_tokens(self, served: str, now: int, *, job_cost: float) -> float:
         """Return how many tokens of ordinary jobs would start at once."""
@@ -180,14 +180,14 @@
         server.runs[job.id] = Run(job, long)
         server.tokens += job.cost
         server.long_runs += long
-        self.health.started(name, job.id, now, scale=1.0 + job.prompt_tokens / PROMPT_SCALE)
+        self.health.record_start(name, job.id, now, scale=1.0 + job.prompt_tokens / PROMPT_SCALE)
 
     def first_token(self, job: Job, name: str, now: int) -> float | None:
         """Learn from a first token; returns its scaled time in ms."""
-        sample = self.health.first_token(name, job.id, now, self._pools.get(job.served, ()))
+        sample = self.health.record_first_token(name, job.id, now, self._pools.get(job.served, ()))
         server = self._servers.get(name)
         if sample is not None and server is not None:
-            server.limit.first_token(sample, now, at_server=len(server.runs))
+            server.limit.record_first_token(sample, now, in_flight=len(server.runs))
         return sample
 
     def finished(self, job: Job, name: str, now: int, outcome: Outcome) -> None:
@@ -200,20 +200,20 @@
         server.long_runs -= run.long
         match outcome:
             case Outcome.OK:
-                self.health.dropped(name, job.id)
-                self.health.succeeded(name, now)
+                self.health.discard_job(name, job.id)
+                self.health.record_success(name, now)
             case Outcome.FAILED:
-                self.health.failed(name, job.id, now, self._pools.get(job.served, ()))
+                self.health.record_failure(name, job.id, now, self._pools.get(job.served, ()))
             case Outcome.REFUSED:
-                server.limit.congested(now)
-                self.health.failed(name, job.id, now, self._pools.get(job.served, ()))
+                server.limit.record_congestion(now)
+                self.health.record_failure(name, job.id, now, self._pools.get(job.served, ()))
             case Outcome.CANCELLED:
-                self.health.dropped(name, job.id)
+                self.health.discard_job(name, job.id)
 
     def tick(self, now: int) -> None:
         """Judge health and keep history; to be called about ten times a second."""
         for served in self._pools:
-            self.health.check(now, self.pool(served))
+            self.health.update_states(now, self.pool(served))
         for server in self._servers.values():
             server.history.append((now, len(server.runs), server.tokens))
             while server.history and server.history[0][0] < now - HISTORY_MS:
@@ -224,13 +224,13 @@
         return [
             (server.runs[job_id].job, name)
             for name, server in self._servers.items()
-            for job_id in self.health.overdue(name, now, self._peers_of(server))
+            for job_id in self.health.take_overdue_jobs(name, now, self._peers_of(server))
             if job_id in server.runs
         ]
 
     def limits(self) -> Mapping[str, int]:
         """Return the present limit of each server."""
-        return {name: server.limit.allowed for name, server in self._servers.items()}
+        return {name: server.limit.max_in_flight for name, server in self._servers.items()}
 
     def in_flight(self) -> Mapping[str, int]:
         """Return this VM's requests at each server."""
@@ -241,7 +241,7 @@
 
     def _open(self, name: str) -> bool:
         server = self._servers[name]
-        return takes_new_work(server.spec, server.report)
+        return accepts_new_work(server.spec, server.report)
 
     def _candidate(self, name: str, now: int, *, long: bool) -> Candidate:
         server = self._servers[name]
@@ -257,9 +257,9 @@
     def _free(self, name: str, now: int, *, long: bool) -> bool:
         server = self._servers[name]
         weight = self.health.weight(name, now)
-        if weight <= 0 or self.health.is_resting(name, now):
+        if weight <= 0 or self.health.is_backing_off(name, now):
             return False
-        allowed = server.limit.allowed
+        allowed = server.limit.max_in_flight
         mine = len(server.runs)
         if weight < 1:
             allowed = max(1, int(allowed * weight))
@@ -267,7 +267,7 @@
             allowed = 1
         if mine >= allowed:
             return False
-        if long and server.long_runs >= long_slots(allowed):
+        if long and server.long_runs >= max_long_jobs(allowed):
             return False
         # A VM's equal share is its own whatever others report, or one that comes late to busy
         # engines would never get a slot; the limit's decrease then makes the others yield.
--- a/src/hickorybeam/policy/cold_watch.py
+++ b/src/hickorybeam/policy/cold_health_checks.py
@@ -11,19 +11,19 @@
 
 from typing import TYPE_CHECKING
 
-from hickorybeam.policy.cold_limit import cold_owners
+from hickorybeam.policy.cold_limit import cold_server_owners
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-__all__ = ("ASK_EVERY_MS", "servers_to_ask")
+__all__ = ("HEALTH_CHECK_INTERVAL_MS", "servers_to_check")
 
 # A server that bears 2 requests a second cold gets about 10 while it is warm: asked at this
 # interval, it gets 3 or 4 more before it is known to be cold.
-ASK_EVERY_MS = 300
+HEALTH_CHECK_INTERVAL_MS = 300
 
 
-def servers_to_ask(me: str, *, servers: Iterable[str], vms: Iterable[str]) -> list[str]:
+def servers_to_check(me: str, *, servers: Iterable[str], vms: Iterable[str]) -> list[str]:
     """Return the servers that this VM asks, out of those that may turn cold.
 
     Each one has two owners among the region's VMs, who tell the others.
@@ -31,4 +31,4 @@
     :param vms: names of the region's VMs, this one included.
     """
     names = tuple(vms)
-    return [server for server in servers if me in cold_owners(server, names)]
+    return [server for server in servers if me in cold_server_owners(server, names)]
--- a/src/hickorybeam/policy/cold_limit.py
+++ b/src/hickorybeam/policy/cold_limit.py
@@ -14,29 +14,29 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-__all__ = ("OWNERS", "ColdLimit", "cold_owners", "rendezvous")
+__all__ = ("OWNERS_PER_COLD_SERVER", "ColdServerLimiter", "cold_server_owners", "rendezvous_order")
 
 MS_PER_SECOND = 1000
-OWNERS = 2
+OWNERS_PER_COLD_SERVER = 2
 
 
-def rendezvous(key: str, names: Iterable[str]) -> list[str]:
+def rendezvous_order(key: str, names: Iterable[str]) -> list[str]:
     """Return names in the order in which they take a key; the same on every VM."""
     return sorted(
         names, key=lambda name: hashlib.blake2b(f"{key}|{name}".encode(), digest_size=8).digest()
     )
 
 
-def cold_owners(server_id: str, vms: Iterable[str]) -> list[str]:
+def cold_server_owners(server_id: str, vms: Iterable[str]) -> list[str]:
     """Return the VMs that may send to a cold server."""
-    return rendezvous(server_id, vms)[:OWNERS]
+    return rendezvous_order(server_id, vms)[:OWNERS_PER_COLD_SERVER]
 
 
-class ColdLimit:
+class ColdServerLimiter:
     """One VM's part of a cold server's rate; at most one request is saved up."""
 
-    def __init__(self, *, per_s: float, now_ms: int) -> None:
-        self._per_ms = per_s / OWNERS / MS_PER_SECOND
+    def __init__(self, *, rate_per_s: float, now_ms: int) -> None:
+        self._per_ms = rate_per_s / OWNERS_PER_COLD_SERVER / MS_PER_SECOND
         self._saved = 1.0
         self._at_ms = now_ms
 
--- a/src/hickorybeam/policy/concurrency.py
+++ b/src/hickorybeam/policy/concurrency.py
@@ -18,14 +18,14 @@
 import math
 from dataclasses import dataclass
 
-__all__ = ("LONG_FACTOR", "LONG_SHARE", "AdaptiveLimit", "is_long", "long_slots")
+__all__ = ("LONG_FACTOR", "LONG_JOB_SHARE", "AdaptiveLimit", "is_long_job", "max_long_jobs")
 
 # A job is long when it costs over 4 times the median: below that, a slot is held no longer
 # than two or three ordinary ones in a row.
 LONG_FACTOR = 4.0
 # Half of the slots: the other half turns over at the pace of short jobs, and a batch of
 # long ones alone still uses half of the engine's slots.
-LONG_SHARE = 0.5
+LONG_JOB_SHARE = 0.5
 
 # First tokens over twice the best seen lately mean a queue at the engine: batching alone
 # lengthens a decode step by less than that at the slots' number. The floor keeps timer noise
@@ -40,14 +40,14 @@
 SHORTEST_PAUSE_MS = 200
 
 
-def is_long(cost: float, median_cost: float) -> bool:
+def is_long_job(cost: float, median_cost: float) -> bool:
     """Whether a job is long against the median cost seen so far."""
     return median_cost > 0 and cost > LONG_FACTOR * median_cost
 
 
-def long_slots(limit: int) -> int:
+def max_long_jobs(limit: int) -> int:
     """Return how many of an engine's slots long jobs may hold, at least one."""
-    return max(1, math.floor(limit * LONG_SHARE))
+    return max(1, math.floor(limit * LONG_JOB_SHARE))
 
 
 @dataclass(slots=True)
@@ -55,11 +55,11 @@
     """The limit of one VM at one backend server.
 
     :param slots: how many requests the server takes at once, the upper bound.
-    :param sharing: how many VMs send to it; the limit starts at an equal share.
+    :param sender_count: how many VMs send to it; the limit starts at an equal share.
     """
 
     slots: int
-    sharing: int = 1
+    sender_count: int = 1
     limit: float = 0.0
     smoothed: float = 0.0
     best: float = math.inf
@@ -68,17 +68,17 @@
 
     def __post_init__(self) -> None:
         if self.limit == 0.0:
-            self.limit = max(1.0, self.slots / max(1, self.sharing))
+            self.limit = max(1.0, self.slots / max(1, self.sender_count))
 
     @property
-    def allowed(self) -> int:
+    def max_in_flight(self) -> int:
         """How many requests may be at the server."""
         return max(1, min(self.slots, math.floor(self.limit)))
 
-    def first_token(self, sample: float, now: int, *, at_server: int) -> None:
+    def record_first_token(self, sample: float, now: int, *, in_flight: int) -> None:
         """Learn from a first-token time in ms, scaled to a short prompt.
 
-        :param at_server: how many of this VM's requests are there, this one included.
+        :param in_flight: how many of this VM's requests are there, this one included.
         """
         if self.smoothed == 0.0:
             self.smoothed = sample
@@ -87,11 +87,11 @@
             self.best = self.smoothed
             self.best_at = now
         if self.smoothed > max(TOLERANCE * self.best, self.best + FLOOR_MS):
-            self.congested(now)
-        elif at_server >= self.allowed:
+            self.record_congestion(now)
+        elif in_flight >= self.max_in_flight:
             self.limit = min(float(self.slots), self.limit + 1.0 / self.limit)
 
-    def congested(self, now: int) -> None:
+    def record_congestion(self, now: int) -> None:
         """Cut the limit, once for each time in which the cut can show its effect."""
         if now - self.decreased_at < max(SHORTEST_PAUSE_MS, self.smoothed):
             return
--- a/src/hickorybeam/policy/drain.py
+++ b/src/hickorybeam/policy/drain.py
@@ -13,9 +13,9 @@
 if TYPE_CHECKING:
     from hickorybeam.model import BackendServer, LoadReport
 
-__all__ = ("takes_new_work",)
+__all__ = ("accepts_new_work",)
 
 
-def takes_new_work(server: BackendServer, report: LoadReport | None) -> bool:
+def accepts_new_work(server: BackendServer, report: LoadReport | None) -> bool:
     """Whether a server may get new work, by its ticket and its last report."""
     return not server.leaving and not (report is not None and report.leaving)
--- a/src/hickorybeam/policy/fair_queue.py
+++ b/src/hickorybeam/policy/fair_queue.py
@@ -16,7 +16,7 @@
 
 Long jobs have a lane of their own within each account, so that a short question does not
 wait behind the account's own batch of long ones while these wait for a slot (see
-``concurrency.LONG_SHARE``). Both lanes spend the same virtual time.
+``concurrency.LONG_JOB_SHARE``). Both lanes spend the same virtual time.
 """
 
 from __future__ import annotations
--- a/src/hickorybeam/policy/fleet_quota.py
+++ b/src/hickorybeam/policy/fleet_quota.py
@@ -19,7 +19,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from hickorybeam.policy.pacing import LEAST_ALONE_MS
+from hickorybeam.policy.report_intervals import MIN_QUOTA_PEER_TIMEOUT_MS
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping
@@ -63,14 +63,14 @@
     :param allowance: what an account may spend beyond its bound in a window; a VM starts with
         half of it in each bucket. Empty buckets would refuse, after all VMs were killed at
         once, every account for as long as its burst takes to refill.
-    :param silent_ms: a peer that was silent for longer spent out of its own fraction meanwhile.
+    :param peer_timeout_ms: a peer that was silent for longer spent out of its own fraction meanwhile.
         Shorter than the time between words, spends would go uncounted: a fleet of hundreds gave
         accounts twice their rates.
     """
 
-    def __init__(self, *, allowance: float = 0.0, silent_ms: int = LEAST_ALONE_MS) -> None:
+    def __init__(self, *, allowance: float = 0.0, peer_timeout_ms: int = MIN_QUOTA_PEER_TIMEOUT_MS) -> None:
         self.allowance = allowance
-        self.silent_ms = silent_ms
+        self.peer_timeout_ms = peer_timeout_ms
         self._buckets: dict[str, _Bucket] = {}
         self._peers: dict[str, _Peer] = {}
         # What all peers together are taken to spend in a ms, by account.
@@ -96,17 +96,17 @@
             kept[terms.name] = bucket
         self._buckets = kept
 
-    def reach(self, heard: int, known: int, now_ms: int) -> None:
+    def set_live_vms(self, live: int, known: int, now_ms: int) -> None:
         """Set which fraction of the fleet's VMs this one hears, itself included."""
         for peer in self._peers.values():
-            if peer.paces and (heard == 1 or now_ms - peer.heard_ms > self.silent_ms):
+            if peer.paces and (live == 1 or now_ms - peer.heard_ms > self.peer_timeout_ms):
                 self._take_to_spend(peer, {}, now_ms)
-        fraction = min(1.0, heard / max(1, known))
+        fraction = min(1.0, live / max(1, known))
         if fraction == self._fraction:
             return
         for bucket in self._buckets.values():
             self._refill(bucket, now_ms)
-            if heard == 1 and bucket.level < 0:
+            if live == 1 and bucket.level < 0:
                 # The fleet's debt, worked off out of a VM's own fraction, would last for minutes.
                 bucket.level *= fraction / self._fraction
         self._fraction = fraction
@@ -137,7 +137,7 @@
         bucket.level = min(self._cap(bucket), bucket.level + cost)
         self._spent[account] = self._spent.get(account, 0.0) - cost
 
-    def totals(self) -> dict[str, float]:
+    def spent_totals(self) -> dict[str, float]:
         """Return what this VM has spent in its life, by account, for its peers."""
         return {name: spent for name, spent in self._spent.items() if spent}
 
@@ -145,7 +145,7 @@
         """Return the level of each bucket, for a VM that has just started."""
         return {name: it.level for name, it in self._buckets.items()}
 
-    def adopt(self, levels: Mapping[str, float], now_ms: int) -> None:
+    def adopt_levels(self, levels: Mapping[str, float], now_ms: int) -> None:
         """Take over levels from a peer that has been up for longer."""
         for name, level in levels.items():
             bucket = self._buckets.get(name)
@@ -153,23 +153,23 @@
                 bucket.level = min(level, self._cap(bucket))
                 bucket.at_ms = now_ms
 
-    def heard(self, peer: str, totals: Mapping[str, float], now_ms: int, *, younger: bool) -> None:
+    def apply_totals(self, peer: str, totals: Mapping[str, float], now_ms: int, *, started_later: bool) -> None:
         """Charge what a peer spent since it was last heard.
 
         :param peer: name and incarnation.
-        :param younger: it started after this VM, so that all it spent is new here.
+        :param started_later: it started after this VM, so that all it spent is new here.
         """
         known = self._peers.get(peer)
         if known is None:
             known = self._peers[peer] = _Peer(now_ms)
-            if not younger:
+            if not started_later:
                 known.totals = dict(totals)
         passed_ms = now_ms - known.heard_ms
         known.heard_ms = now_ms
         before = {name: known.totals.get(name, 0.0) for name in totals}
         spent = {name: it - before[name] for name, it in totals.items() if it != before[name]}
         known.totals.update(totals)
-        if passed_ms > self.silent_ms:
+        if passed_ms > self.peer_timeout_ms:
             self._take_to_spend(known, {}, now_ms)
             return
         for name in spent.keys() | known.paces.keys():
--- a/src/hickorybeam/policy/attempt_budget.py
+++ b/src/hickorybeam/policy/fleet_retry_budget.py
@@ -10,14 +10,14 @@
 
 from dataclasses import dataclass
 
-__all__ = ("AttemptBudget", "RepeatBounds")
+__all__ = ("FleetRetryBudget", "FleetRetryLimits")
 
 # Of the allowance this much is given out; the rest covers VMs that are added before all know.
 SAFE_SHARE = 0.75
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class RepeatBounds:
+class FleetRetryLimits:
     """What all VMs together may repeat.
 
     ``ratio`` repeats for each request, and ``allowance`` besides in each ``window_ms``.
@@ -28,21 +28,21 @@
     window_ms: int
 
 
-class AttemptBudget:
+class FleetRetryBudget:
     """The budget of one service on one VM: a bucket that requests fill."""
 
-    def __init__(self, bounds: RepeatBounds) -> None:
+    def __init__(self, bounds: FleetRetryLimits) -> None:
         self._saved: float | None = None
         self._at_ms = 0
-        self.change(bounds)
+        self.reconfigure(bounds)
 
-    def change(self, bounds: RepeatBounds) -> None:
+    def reconfigure(self, bounds: FleetRetryLimits) -> None:
         """Take over other bounds; what was saved up stays, up to the new most."""
         self._ratio = bounds.ratio * SAFE_SHARE
         self._allowance = bounds.allowance * SAFE_SHARE
         self._window_ms = bounds.window_ms
 
-    def earn(self, now_ms: int, vms: int) -> None:
+    def record_request(self, now_ms: int, vms: int) -> None:
         """Count one request of a caller."""
         self._refill(now_ms, vms)
         self._saved = min(self._most(vms), (self._saved or 0.0) + self._ratio)
--- a/src/hickorybeam/policy/health.py
+++ b/src/hickorybeam/policy/health.py
@@ -26,7 +26,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-__all__ = ("HealthTable", "Standing")
+__all__ = ("HealthTable", "HealthState")
 
 # Three failures in a row happen by chance once in 8000 calls at the 5% error rate of an
 # engine that restarts now and then, and take a dead one out within three calls.
@@ -71,7 +71,7 @@
 LARGEST_EJECTED_SHARE = 0.5
 
 
-class Standing(Enum):
+class HealthState(Enum):
     """Whether a server gets work."""
 
     SERVING = auto()
@@ -84,7 +84,7 @@
 class Health:
     """What was seen of one backend server."""
 
-    standing: Standing = Standing.SERVING
+    state: HealthState = HealthState.SERVING
     since: int = 0
     pause: int = FIRST_PAUSE_MS
     failures_in_a_row: int = 0
@@ -108,32 +108,32 @@
         self._health: dict[str, Health] = {}
         self.ejections = 0
 
-    def of(self, server: str) -> Health:
+    def record(self, server: str) -> Health:
         """Return the record of a server, a fresh one if it is new."""
         found = self._health.get(server)
         if found is None:
             found = self._health[server] = Health()
         return found
 
-    def keep(self, servers: Iterable[str]) -> None:
+    def retain(self, servers: Iterable[str]) -> None:
         """Forget every server that is no longer configured."""
         wanted = set(servers)
         for name in [name for name in self._health if name not in wanted]:
             del self._health[name]
 
-    def started(self, server: str, job: int, now: int, *, scale: float) -> None:
+    def record_start(self, server: str, job: int, now: int, *, scale: float) -> None:
         """Note that a job was sent.
 
         :param scale: how long its first token may take, relative to a short prompt.
         """
-        self.of(server).waiting[job] = (now, scale)
+        self.record(server).waiting[job] = (now, scale)
 
-    def first_token(self, server: str, job: int, now: int, pool: Iterable[str]) -> float | None:
+    def record_first_token(self, server: str, job: int, now: int, pool: Iterable[str]) -> float | None:
         """Note a first token; returns its time in ms for a short prompt, if it was awaited.
 
         :param pool: every server of the same model or service.
         """
-        health = self.of(server)
+        health = self.record(server)
         sent = health.waiting.pop(job, None)
         if sent is None:
             return None
@@ -148,79 +148,79 @@
         health.first_token += weight * (sample - health.first_token)
         return sample
 
-    def succeeded(self, server: str, now: int) -> None:
+    def record_success(self, server: str, now: int) -> None:
         """Note a proper end."""
-        health = self.of(server)
+        health = self.record(server)
         health.failures_in_a_row = 0
         health.resting_until = now
-        if health.standing is Standing.PROBING and not health.late:
-            self._set(health, Standing.RAMPING, now)
+        if health.state is HealthState.PROBING and not health.late:
+            self._set(health, HealthState.RAMPING, now)
 
-    def failed(self, server: str, job: int, now: int, peers: Iterable[str]) -> None:
+    def record_failure(self, server: str, job: int, now: int, peers: Iterable[str]) -> None:
         """Note a failure that is the server's; eject it after some in a row.
 
         :param peers: every server of the same model or service, this one included.
         """
-        health = self.of(server)
+        health = self.record(server)
         health.waiting.pop(job, None)
         health.failures = health.recent_failures(now) + 1.0
         health.failures_at = now
         health.failures_in_a_row += 1
         doubled = FIRST_REST_MS * 2 ** min(10, health.failures_in_a_row - 1)
         health.resting_until = now + min(LONGEST_REST_MS, doubled)
-        if health.standing is Standing.PROBING or health.failures_in_a_row >= FAILURES_IN_A_ROW:
+        if health.state is HealthState.PROBING or health.failures_in_a_row >= FAILURES_IN_A_ROW:
             self._eject(server, now, peers)
 
-    def dropped(self, server: str, job: int) -> None:
+    def discard_job(self, server: str, job: int) -> None:
         """Note that a job ended for a reason that says nothing about the server."""
-        self.of(server).waiting.pop(job, None)
+        self.record(server).waiting.pop(job, None)
 
-    def check(self, now: int, pool: Iterable[str]) -> None:
+    def update_states(self, now: int, pool: Iterable[str]) -> None:
         """Eject servers of one pool that are slow against the others; let others return."""
         servers = list(pool)
         for name in servers:
-            health = self.of(name)
-            if health.standing is Standing.EJECTED and now - health.since >= health.pause:
-                self._set(health, Standing.PROBING, now)
-            elif health.standing is Standing.RAMPING and now - health.since >= RAMP_MS:
-                self._set(health, Standing.SERVING, now)
+            health = self.record(name)
+            if health.state is HealthState.EJECTED and now - health.since >= health.pause:
+                self._set(health, HealthState.PROBING, now)
+            elif health.state is HealthState.RAMPING and now - health.since >= RAMP_MS:
+                self._set(health, HealthState.SERVING, now)
                 health.pause = FIRST_PAUSE_MS
-            if health.standing is not Standing.EJECTED and self._is_slow(name, now, servers):
+            if health.state is not HealthState.EJECTED and self._is_slow(name, now, servers):
                 health.pause = max(health.pause, FIRST_SLOW_PAUSE_MS)
                 self._eject(name, now, servers)
 
     def weight(self, server: str, now: int) -> float:
         """Return the share of its normal load that a server should get now, 0 for none."""
-        health = self.of(server)
-        match health.standing:
-            case Standing.EJECTED:
+        health = self.record(server)
+        match health.state:
+            case HealthState.EJECTED:
                 return 0.0
-            case Standing.PROBING:
+            case HealthState.PROBING:
                 return PROBE_WEIGHT
-            case Standing.RAMPING:
+            case HealthState.RAMPING:
                 climbed = min(1.0, (now - health.since) / RAMP_MS)
                 base = PROBE_WEIGHT + (1.0 - PROBE_WEIGHT) * climbed
-            case Standing.SERVING:
+            case HealthState.SERVING:
                 base = 1.0
         return max(PROBE_WEIGHT, base * math.pow(0.5, health.recent_failures(now)))
 
-    def is_resting(self, server: str, now: int) -> bool:
+    def is_backing_off(self, server: str, now: int) -> bool:
         """Whether a server rests after a failure."""
-        return now < self.of(server).resting_until
+        return now < self.record(server).resting_until
 
     def is_suspect(self, server: str) -> bool:
         """Whether a server failed several times with no success since: one call at a time."""
-        return self.of(server).failures_in_a_row >= SUSPECT_FROM
+        return self.record(server).failures_in_a_row >= SUSPECT_FROM
 
-    def overdue(self, server: str, now: int, pool: Iterable[str]) -> list[int]:
+    def take_overdue_jobs(self, server: str, now: int, pool: Iterable[str]) -> list[int]:
         """Return the jobs to recall from a slow server: late and without a first token.
 
         Asked of servers that are out or being probed. What was sent before the ejection, and
         the probes themselves, would otherwise wait at the one server known to be slow. Recalls
         from servers still in use were tried and do not pay (docs/design/load.md).
         """
-        health = self.of(server)
-        if health.standing not in (Standing.EJECTED, Standing.PROBING):
+        health = self.record(server)
+        if health.state not in (HealthState.EJECTED, HealthState.PROBING):
             return []
         limit = self._latest_normal(server, pool) * RECALL_SHARE
         found = [job for job, (at, scale) in health.waiting.items() if now - at > limit * scale]
@@ -239,31 +239,31 @@
 
     def failing_share(self, pool: Iterable[str], now: int) -> float:
         """Return the share of a pool that is out, rests after a failure, or is being tried."""
-        failing = [self._is_failing(self.of(name), now) for name in pool]
+        failing = [self._is_failing(self.record(name), now) for name in pool]
         return sum(failing) / len(failing) if failing else 1.0
 
-    def next_try(self, pool: Iterable[str], now: int) -> float:
+    def ms_until_available(self, pool: Iterable[str], now: int) -> float:
         """Return ms until some server of a pool may get work, 0 if one may now."""
-        waits = [self._next_try(self.of(name), now) for name in pool]
+        waits = [self._next_try(self.record(name), now) for name in pool]
         return min(waits, default=math.inf)
 
     def _next_try(self, health: Health, now: int) -> float:
-        if health.standing is Standing.EJECTED:
+        if health.state is HealthState.EJECTED:
             return max(0, health.since + health.pause - now)
         return max(0, health.resting_until - now)
 
     def _is_failing(self, health: Health, now: int) -> bool:
-        if health.standing is Standing.EJECTED:
+        if health.state is HealthState.EJECTED:
             return True
-        if health.standing is Standing.PROBING:
+        if health.state is HealthState.PROBING:
             return bool(health.waiting)
         if health.failures_in_a_row < SUSPECT_FROM:
             return False
         return now < health.resting_until or bool(health.waiting)
 
-    def standing(self, server: str) -> Standing:
+    def state(self, server: str) -> HealthState:
         """Return whether a server gets work."""
-        return self.of(server).standing
+        return self.record(server).state
 
     def _latest_normal(self, server: str, pool: Iterable[str]) -> float:
         """Return the time in ms past which a first token of this server is late."""
@@ -271,15 +271,15 @@
             health.first_token
             for name in pool
             if name != server
-            and (health := self.of(name)).samples
-            and health.standing is not Standing.EJECTED
+            and (health := self.record(name)).samples
+            and health.state is not HealthState.EJECTED
         ]
         if not others:
             return math.inf
         return SLOW_FACTOR * max(float(median(others)), SLOW_FLOOR_MS)
 
     def _is_slow(self, server: str, now: int, pool: Iterable[str]) -> bool:
-        health = self.of(server)
+        health = self.record(server)
         if not health.waiting and not health.late:
             # Nothing to judge; the median of the others is work for each server at each tick.
             return False
@@ -288,25 +288,25 @@
         late = [*health.late, *(at for age, at in ages if age > normal)]
         if any(age > SILENT_FACTOR * normal for age, _ in ages):
             return True
-        if health.standing is Standing.PROBING:
+        if health.state is HealthState.PROBING:
             return bool(late)
         return len(late) >= SLOW_IN_A_ROW and max(late) - min(late) >= SLOW_SPAN_MS
 
     def _eject(self, server: str, now: int, peers: Iterable[str]) -> None:
-        health = self.of(server)
-        if health.standing is Standing.EJECTED:
+        health = self.record(server)
+        if health.state is HealthState.EJECTED:
             return
         pool = set(peers) | {server}
-        out = sum(1 for name in pool if self.of(name).standing is Standing.EJECTED)
+        out = sum(1 for name in pool if self.record(name).state is HealthState.EJECTED)
         if out + 1 > len(pool) * LARGEST_EJECTED_SHARE:
             return
-        if health.standing is not Standing.SERVING:
+        if health.state is not HealthState.SERVING:
             health.pause = min(LONGEST_PAUSE_MS, health.pause * 2)
-        self._set(health, Standing.EJECTED, now)
+        self._set(health, HealthState.EJECTED, now)
         health.failures_in_a_row = 0
         self.ejections += 1
 
-    def _set(self, health: Health, standing: Standing, now: int) -> None:
-        health.standing = standing
+    def _set(self, health: Health, state: HealthState, now: int) -> None:
+        health.state = state
         health.since = now
         health.late.clear()
--- a/src/hickorybeam/policy/loans.py
+++ b/src/hickorybeam/policy/loans.py
@@ -189,7 +189,7 @@
         for held in self._held.get(account, ()):
             _scale(held, burst)
 
-    def give_back(self, account: str) -> None:
+    def return_loans(self, account: str) -> None:
         """Stop spending an account's loans and report what is left of them."""
         for held in tuple(self._held.get(account, ())):
             self._close(account, held, returned=held.tokens)
@@ -198,11 +198,11 @@
         """Return the accounts with loans held."""
         return tuple(self._held)
 
-    def reports(self, lender: VmId) -> tuple[ClosedLoan, ...]:
+    def take_reports(self, lender: VmId) -> tuple[ClosedLoan, ...]:
         """Take the reports due to one lender; it is safe to lose them and to repeat them."""
         return tuple(self._closed.pop(lender, ()))
 
-    def lenders(self) -> tuple[VmId, ...]:
+    def lenders_due_reports(self) -> tuple[VmId, ...]:
         """Return the lenders to whom reports are due."""
         return tuple(self._closed)
 
--- a/src/hickorybeam/policy/placers.py
+++ b/src/hickorybeam/policy/placers.py
@@ -12,7 +12,7 @@
 
 from typing import TYPE_CHECKING
 
-from hickorybeam.policy.cold_limit import rendezvous
+from hickorybeam.policy.cold_limit import rendezvous_order
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
@@ -38,5 +38,5 @@
     if len(vms) <= MOST_THAT_DECIDE_ALONE:
         return []
     strong = max(vms.values()) * STRONG_SHARE
-    order = rendezvous(f"{ORDER} {service}", vms)
+    order = rendezvous_order(f"{ORDER} {service}", vms)
     return sorted(order, key=lambda name: vms[name] < strong)
--- a/src/hickorybeam/policy/rebalance.py
+++ b/src/hickorybeam/policy/rebalance.py
@@ -10,12 +10,12 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING, Final
 
-from hickorybeam.policy.shares import PARTS, GroupLedger, Holder, give
+from hickorybeam.policy.shares import PARTS_PER_ACCOUNT, GroupLedger, Holder, transfer_parts
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-__all__ = ("Demand", "Rates", "plan_gifts")
+__all__ = ("AccountDemand", "DecayingRates", "plan_transfers")
 
 # A holder gives at most this part of what it holds of an account in one round: with a round
 # of two seconds a fraction follows demand within about ten seconds, and a burst that lasts
@@ -23,14 +23,14 @@
 LARGEST_STEP: Final = 0.3
 
 # Moves below 1% of an account are not worth a write to the platform.
-SMALLEST_MOVE: Final = PARTS // 100
+SMALLEST_MOVE: Final = PARTS_PER_ACCOUNT // 100
 
 # Lending is averaged over this time, so that a fraction moves only on lasting demand.
 AVERAGE_OVER_MS: Final = 6_000
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Demand:
+class AccountDemand:
     """What this VM knows of the demand for one account.
 
     ``rate`` is the account's, in tokens a second; ``lent`` tokens a second lent to each
@@ -38,14 +38,14 @@
     occupy and that can't be given away.
     """
 
-    rate: float
-    own: float = 0.0
+    account_rate: float
+    local_rate: float = 0.0
     level: float = 0.0
-    lent: Mapping[Holder, float] = field(default_factory=dict)
-    keep: int = 0
+    lent_rates: Mapping[Holder, float] = field(default_factory=dict)
+    reserved_parts: int = 0
 
 
-class Rates:
+class DecayingRates:
     """Averages of tokens a second by key, decayed over ``AVERAGE_OVER_MS``."""
 
     __slots__ = ("_at_ms", "_tokens")
@@ -69,11 +69,11 @@
         return self._tokens.get(key, 0.0) * max(0.0, 1.0 - elapsed / AVERAGE_OVER_MS)
 
 
-def plan_gifts(
+def plan_transfers(
     ledger: GroupLedger,
     me: Holder,
     planned: tuple[Holder, ...],
-    demands: Mapping[str, Demand],
+    demands: Mapping[str, AccountDemand],
     *,
     floor: float,
 ) -> GroupLedger:
@@ -84,7 +84,7 @@
         there are too many data centres for it.
     """
     data_centres = sorted({holder.data_centre for holder in planned} | {me.data_centre})
-    floor_parts = int(PARTS * min(floor, 0.5 / len(data_centres)))
+    floor_parts = int(PARTS_PER_ACCOUNT * min(floor, 0.5 / len(data_centres)))
     for account, demand in demands.items():
         before = ledger
         ledger = _give_to_newcomer(ledger, me, planned, account, demand, floor_parts)
@@ -98,12 +98,12 @@
     me: Holder,
     planned: tuple[Holder, ...],
     account: str,
-    demand: Demand,
+    demand: AccountDemand,
     floor_parts: int,
 ) -> GroupLedger:
     """Raise a data centre, or a VM of this one, that holds too little."""
     mine = ledger.parts(me.vm, account)
-    spare = max(0, mine - demand.keep)
+    spare = max(0, mine - demand.reserved_parts)
     if _is_largest(ledger, me, account):
         for holder in planned:
             held = ledger.of_data_centre(holder.data_centre, account)
@@ -111,14 +111,14 @@
                 continue
             wanted = floor_parts - held
             if held == 0 and _is_idle(demand, mine):
-                wanted = PARTS // len({one.data_centre for one in planned})
-            return give(ledger, me, holder, account, min(wanted, spare // 2), demand.level)
+                wanted = PARTS_PER_ACCOUNT // len({one.data_centre for one in planned})
+            return transfer_parts(ledger, me, holder, account, min(wanted, spare // 2), demand.level)
     neighbours = [one for one in planned if one.data_centre == me.data_centre]
     if _is_largest_here(ledger, me, account):
         for holder in neighbours:
             if holder.vm != me.vm and ledger.parts(holder.vm, account) == 0 and mine > 1:
                 wanted = ledger.of_data_centre(me.data_centre, account) // len(neighbours)
-                return give(ledger, me, holder, account, min(wanted, spare // 2), demand.level)
+                return transfer_parts(ledger, me, holder, account, min(wanted, spare // 2), demand.level)
     return ledger
 
 
@@ -127,33 +127,33 @@
     me: Holder,
     planned: tuple[Holder, ...],
     account: str,
-    demand: Demand,
+    demand: AccountDemand,
     floor_parts: int,
 ) -> GroupLedger:
     """Move fractions to holders that keep borrowing."""
-    if demand.rate <= 0:
+    if demand.account_rate <= 0:
         return ledger
     places = sum(1 for one in planned if one.data_centre == me.data_centre) or 1
     mine = ledger.parts(me.vm, account)
-    used_here = int(PARTS * demand.own / demand.rate)
-    spare = mine - max(demand.keep, floor_parts // places, min(used_here, mine))
+    used_here = int(PARTS_PER_ACCOUNT * demand.local_rate / demand.account_rate)
+    spare = mine - max(demand.reserved_parts, floor_parts // places, min(used_here, mine))
     budget = min(spare, int(mine * LARGEST_STEP))
     wants = sorted(
-        ((lent, holder) for holder, lent in demand.lent.items() if holder in planned),
+        ((lent, holder) for holder, lent in demand.lent_rates.items() if holder in planned),
         reverse=True,
     )
     for lent, holder in wants:
-        parts = min(budget, int(PARTS * lent / demand.rate))
+        parts = min(budget, int(PARTS_PER_ACCOUNT * lent / demand.account_rate))
         if parts < SMALLEST_MOVE:
             break
         level = demand.level * ledger.parts(me.vm, account) / mine
-        ledger = give(ledger, me, holder, account, parts, level)
+        ledger = transfer_parts(ledger, me, holder, account, parts, level)
         budget -= parts
     return ledger
 
 
-def _is_idle(demand: Demand, mine: int) -> bool:
-    return demand.own < demand.rate * mine / PARTS / 2
+def _is_idle(demand: AccountDemand, mine: int) -> bool:
+    return demand.local_rate < demand.account_rate * mine / PARTS_PER_ACCOUNT / 2
 
 
 def _is_largest(ledger: GroupLedger, me: Holder, account: str) -> bool:
--- a/src/hickorybeam/policy/pacing.py
+++ b/src/hickorybeam/policy/report_intervals.py
@@ -13,17 +13,17 @@
     import random
 
 __all__ = (
-    "LEAST_ALONE_MS",
-    "LEAST_HEARD_MS",
-    "gone_after_ms",
-    "near_every_ms",
-    "outside_every_ms",
-    "quiet_after_ms",
-    "out_of_step_ms",
-    "spends_alone_after_ms",
-    "watch_rest_ms",
-    "watch_wait_ms",
-    "watcher_gone_after_ms",
+    "MIN_QUOTA_PEER_TIMEOUT_MS",
+    "MIN_PEER_TIMEOUT_MS",
+    "peer_timeout_ms",
+    "local_report_interval_ms",
+    "remote_report_interval_ms",
+    "isolation_timeout_ms",
+    "jittered_interval_ms",
+    "quota_peer_timeout_ms",
+    "watch_pause_ms",
+    "watch_poll_timeout_ms",
+    "watcher_timeout_ms",
 )
 
 # Words to the own data centre, whose figures also spread the load; longer apart for each VM in
@@ -47,11 +47,11 @@
 # A VM that wasn't heard for so many words that it should have sent counts as gone, and not
 # before the least time: it is not named to callers and holds no part of a quota.
 HEARD_TIMES = 4
-LEAST_HEARD_MS = 1_500
+MIN_PEER_TIMEOUT_MS = 1_500
 LEAST_WATCHER_HEARD_MS = 1_200
 # For quotas, words missed are taken for a cut sooner, and not before the least time.
 ALONE_TIMES = 2
-LEAST_ALONE_MS = 2_000
+MIN_QUOTA_PEER_TIMEOUT_MS = 2_000
 # After a change the watch rests, so that changes which come together cost one call: each change
 # wakes every watcher. With more of them it rests for longer.
 REST_MS = 400
@@ -64,56 +64,56 @@
 MOST_WAIT_MS = 20_000
 
 
-def near_every_ms(near: int) -> int:
+def local_report_interval_ms(local_peers: int) -> int:
     """Return the time between words to a data centre with so many other VMs."""
-    return max(NEAR_EVERY_MS, NEAR_EVERY_PER_VM_MS * near)
+    return max(NEAR_EVERY_MS, NEAR_EVERY_PER_VM_MS * local_peers)
 
 
-def outside_every_ms(vms: int, *, young: bool = False) -> int:
+def remote_report_interval_ms(vms: int, *, just_started: bool = False) -> int:
     """Return the time between words to each other data centre, in a fleet of so many VMs.
 
-    :param young: the VM has just started and is to be heard soon.
+    :param just_started: the VM has just started and is to be heard soon.
     """
-    if young:
+    if just_started:
         return YOUNG_OUTSIDE_EVERY_MS
     return max(OUTSIDE_EVERY_MS, min(MOST_OUTSIDE_EVERY_MS, OUTSIDE_EVERY_PER_VM_MS * vms))
 
 
-def out_of_step_ms(every_ms: int, rng: random.Random) -> float:
+def jittered_interval_ms(every_ms: int, rng: random.Random) -> float:
     """Return the time until the next word to other data centres, about the usual one."""
     return every_ms * rng.uniform(1 - OUT_OF_STEP, 1 + OUT_OF_STEP)
 
 
-def gone_after_ms(*, near: int, vms: int) -> int:
+def peer_timeout_ms(*, local_peers: int, vms: int) -> int:
     """Return after which silence any VM counts as gone; its words may come by way of another."""
-    return max(LEAST_HEARD_MS, HEARD_TIMES * (near_every_ms(near) + outside_every_ms(vms)))
+    return max(MIN_PEER_TIMEOUT_MS, HEARD_TIMES * (local_report_interval_ms(local_peers) + remote_report_interval_ms(vms)))
 
 
-def quiet_after_ms(near: int) -> int:
+def isolation_timeout_ms(local_peers: int) -> int:
     """Return after which time without any word at all a VM takes itself for cut off."""
-    return watcher_gone_after_ms(near)
+    return watcher_timeout_ms(local_peers)
 
 
-def spends_alone_after_ms(*, near: int, vms: int) -> int:
+def quota_peer_timeout_ms(*, local_peers: int, vms: int) -> int:
     """Return after which silence another VM counts as spending out of a part of its own.
 
     In a fleet of hundreds a VM counts as gone only after most of a quota's window. Until then
     both sides of a cut would spend whole rates.
     """
-    words_ms = near_every_ms(near) + outside_every_ms(vms)
-    return min(gone_after_ms(near=near, vms=vms), max(LEAST_ALONE_MS, ALONE_TIMES * words_ms))
+    words_ms = local_report_interval_ms(local_peers) + remote_report_interval_ms(vms)
+    return min(peer_timeout_ms(local_peers=local_peers, vms=vms), max(MIN_QUOTA_PEER_TIMEOUT_MS, ALONE_TIMES * words_ms))
 
 
-def watcher_gone_after_ms(near: int) -> int:
+def watcher_timeout_ms(local_peers: int) -> int:
     """Return after which silence a watcher of the data centre is not relied on any more."""
-    return max(LEAST_WATCHER_HEARD_MS, HEARD_TIMES * near_every_ms(near))
+    return max(LEAST_WATCHER_HEARD_MS, HEARD_TIMES * local_report_interval_ms(local_peers))
 
 
-def watch_rest_ms(watchers: int) -> int:
+def watch_pause_ms(watchers: int) -> int:
     """Return how long a watch rests after a call that brought changes."""
     return max(REST_MS, min(MOST_REST_MS, REST_PER_WATCHER_MS * watchers))
 
 
-def watch_wait_ms(watchers: int) -> int:
+def watch_poll_timeout_ms(watchers: int) -> int:
     """Return how long one call of a watch waits at the store."""
     return max(LEAST_WAIT_MS, min(MOST_WAIT_MS, WAIT_PER_WATCHER_MS * watchers))
--- a/src/hickorybeam/policy/retry.py
+++ b/src/hickorybeam/policy/retry.py
@@ -23,7 +23,7 @@
 
     from hickorybeam.errors import GatewayError
 
-__all__ = ("RetryBudget", "RetryDenied", "backoff_ms", "may_repeat")
+__all__ = ("RetryBudget", "RetryDenied", "backoff_ms", "may_retry")
 
 # A tenth: at 100% failures the servers see 1.1 times the first attempts. A single dead server
 # of six fails one call in six until its ejection after three, well within the reserve.
@@ -33,7 +33,7 @@
 RESERVE = 10.0
 FIRST_PAUSE_MS = 10
 LONGEST_PAUSE_MS = 1_000
-MOST_ATTEMPTS = 3
+MAX_ATTEMPTS = 3
 
 REPEATABLE = frozenset(
     {
@@ -63,7 +63,7 @@
     NO_OTHER = "no_other_backend"
 
 
-def may_repeat(exc: GatewayError, *, idempotent: bool) -> bool:
+def may_retry(exc: GatewayError, *, idempotent: bool) -> bool:
     """Whether the failed attempt may be followed by another one.
 
     A call that may not be repeated goes again only when it is known not to have run.
@@ -84,7 +84,7 @@
 
     left: float = RESERVE
 
-    def first_attempt(self) -> None:
+    def record_first_attempt(self) -> None:
         """Count a first attempt."""
         self.left = min(RESERVE, self.left + RATIO)
 
--- a/src/hickorybeam/policy/scheduler.py
+++ b/src/hickorybeam/policy/scheduler.py
@@ -13,14 +13,14 @@
 
 from hickorybeam.errors import ErrorKind
 from hickorybeam.model import RegionLoad
-from hickorybeam.policy.admission import WaitBound, retry_after_ms
+from hickorybeam.policy.admission import WaitLimit, retry_after_ms
 from hickorybeam.policy.backend_table import BackendTable
-from hickorybeam.policy.concurrency import is_long
+from hickorybeam.policy.concurrency import is_long_job
 from hickorybeam.policy.fair_queue import FairQueue
 from hickorybeam.policy.forecast import DrainRate, Median
 from hickorybeam.policy.job import Decision, Outcome, Reason, Recall, Refuse, Spill, Start
 from hickorybeam.policy.region_choice import RegionChoice
-from hickorybeam.policy.shedding import MemoryBound, excess_jobs
+from hickorybeam.policy.shedding import BodyMemoryLimit, jobs_to_shed
 
 if TYPE_CHECKING:
     import random
@@ -50,7 +50,7 @@
     first_token: float = 0.0
 
     def is_long(self, job: Job) -> bool:
-        return is_long(job.cost, self.costs.value)
+        return is_long_job(job.cost, self.costs.value)
 
 
 class Scheduler:
@@ -81,7 +81,7 @@
         self._pools: dict[str, Pool] = {}
         self._running: dict[int, str] = {}
         self._held: set[int] = set()
-        self._memory = MemoryBound(memory)
+        self._memory = BodyMemoryLimit(memory)
         self.backends = BackendTable(rng=rng)
         self.regions = RegionChoice(here=region, profile=profile)
 
@@ -257,7 +257,7 @@
 
     def _hold(self, job: Job) -> None:
         self._held.add(job.id)
-        self._memory.hold(job.account, job.size)
+        self._memory.reserve(job.account, job.size)
 
     def _pool(self, served: str) -> Pool:
         found = self._pools.get(served)
@@ -269,11 +269,11 @@
         capacity = self.backends.capacity(pool.served, now)
         pool.drain.advance(now, capacity=capacity, waiting=len(pool.queue) > 0)
 
-    def _bound(self, pool: Pool, job: Job, now: int) -> WaitBound:
-        return WaitBound(
-            longest=float(self._longest_wait - (now - job.arrived)),
-            left=float(job.deadline - now),
-            first_token=pool.first_token,
+    def _bound(self, pool: Pool, job: Job, now: int) -> WaitLimit:
+        return WaitLimit(
+            max_wait_ms=float(self._longest_wait - (now - job.arrived)),
+            remaining_ms=float(job.deadline - now),
+            first_token_ms=pool.first_token,
         )
 
     def _refusal_here(self, pool: Pool, job: Job, now: int) -> Refuse | None:
@@ -283,9 +283,9 @@
         bound = self._bound(pool, job, now)
         if wait <= bound.ms:
             return None
-        if bound.deadline_decides and bound.ms < 0:
+        if bound.limited_by_deadline and bound.ms < 0:
             return self._refuse(job, ErrorKind.DEADLINE, Reason.DEADLINE, wait, bound.ms)
-        reason = Reason.DEADLINE if bound.deadline_decides else Reason.WAIT
+        reason = Reason.DEADLINE if bound.limited_by_deadline else Reason.WAIT
         return self._refuse(job, ErrorKind.OVERLOADED, reason, wait, bound.ms)
 
     def _refuse(
@@ -341,7 +341,7 @@
     def _given_up(self, pool: Pool, now: int) -> list[tuple[Job, ErrorKind, Reason]]:
         late = [
             (job, ErrorKind.DEADLINE, Reason.DEADLINE)
-            if bound.deadline_decides
+            if bound.limited_by_deadline
             else (job, ErrorKind.OVERLOADED, Reason.WAIT)
             for job in pool.queue.jobs()
             if (bound := self._bound(pool, job, now)).ms < 0
@@ -352,7 +352,7 @@
             return [(job, ErrorKind.NO_BACKEND, Reason.NO_BACKEND) for job in pool.queue.jobs()]
         capacity = self.backends.capacity(pool.served, now)
         keep = pool.drain.per_second(capacity) * self._longest_wait * SHED_FACTOR / 1000
-        shed = excess_jobs(pool.queue, keep=keep)
+        shed = jobs_to_shed(pool.queue, max_backlog_tokens=keep)
         return [(job, ErrorKind.OVERLOADED, Reason.SHED) for job in shed]
 
     def _give_up(self, pool: Pool, job: Job, kind: ErrorKind, reason: Reason, now: int) -> Decision:
--- a/src/hickorybeam/policy/server_choice.py
+++ b/src/hickorybeam/policy/server_choice.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from hickorybeam.policy.cold_limit import rendezvous
+from hickorybeam.policy.cold_limit import rendezvous_order
 from hickorybeam.policy.server_pace import ServerPace
 from hickorybeam.policy.stale_load import draw
 
@@ -228,7 +228,7 @@
     home = None
     if len(parts) > 1:
         near = [it for it in standings if it.server.data_centre == data_centre] or standings
-        home = rendezvous(parts[-2].id, [it.server.id for it in near])[0]
+        home = rendezvous_order(parts[-2].id, [it.server.id for it in near])[0]
     ordered = sorted(standings, key=lambda it: it.server.id)
     waits = []
     for standing in ordered:
--- a/src/hickorybeam/policy/shares.py
+++ b/src/hickorybeam/policy/shares.py
@@ -27,18 +27,18 @@
     from collections.abc import Iterable, Mapping
 
 __all__ = (
-    "PARTS",
+    "PARTS_PER_ACCOUNT",
     "GroupLedger",
     "GroupShares",
     "Holder",
     "HolderParts",
     "create_accounts",
     "free_parts",
-    "give",
+    "transfer_parts",
     "group_of",
     "planned_holders",
-    "release",
-    "take_free",
+    "release_parts",
+    "claim_free_parts",
     "take_over",
 )
 
@@ -46,7 +46,7 @@
 
 # A whole is a million parts: integers add up exactly, and the smallest step of a floor of 5%
 # split over 27 holders is still some hundreds of parts.
-PARTS: Final = 1_000_000
+PARTS_PER_ACCOUNT: Final = 1_000_000
 
 # Three VMs of each data centre hold fractions of a group. One alone would take the data
 # centre's whole fraction with it when it dies while the platform is out; more would make the
@@ -99,7 +99,7 @@
                 return entry.parts
         return {}
 
-    def first_parts(self, vm: VmId, account: str) -> int:
+    def initial_parts(self, vm: VmId, account: str) -> int:
         """Return what a VM was given of an account when the account was entered."""
         for entry in self.entries:
             if entry.holder.vm == vm:
@@ -150,7 +150,7 @@
 
 def free_parts(ledger: GroupLedger, account: str) -> int:
     """Return what nobody holds of an account."""
-    return PARTS - sum(entry.parts.get(account, 0) for entry in ledger.entries)
+    return PARTS_PER_ACCOUNT - sum(entry.parts.get(account, 0) for entry in ledger.entries)
 
 
 def create_accounts(
@@ -172,7 +172,7 @@
     return replace(ledger, accounts=(*ledger.accounts, *fresh))
 
 
-def take_free(ledger: GroupLedger, me: Holder, account: str) -> GroupLedger:
+def claim_free_parts(ledger: GroupLedger, me: Holder, account: str) -> GroupLedger:
     """Claim what nobody holds of an account."""
     free = free_parts(ledger, account)
     if free <= 0 or account not in ledger.accounts:
@@ -180,7 +180,7 @@
     return _put(ledger, me, account, ledger.parts(me.vm, account) + free)
 
 
-def give(
+def transfer_parts(
     ledger: GroupLedger, me: Holder, to: Holder, account: str, parts: int, level: float = 0.0
 ) -> GroupLedger:
     """Move parts of one account from this VM to another; at most what this VM has.
@@ -207,13 +207,13 @@
     return _move_all(ledger, dead, me)
 
 
-def release(
+def release_parts(
     ledger: GroupLedger, me: Holder, to: Holder | None, levels: Mapping[str, float]
 ) -> GroupLedger:
     """Hand everything to another holder on shutdown, or leave it free with none to take it."""
     for account in tuple(ledger.accounts) if to else ():
         parts = ledger.parts(me.vm, account)
-        ledger = give(ledger, me, to or me, account, parts, levels.get(account, 0.0))
+        ledger = transfer_parts(ledger, me, to or me, account, parts, levels.get(account, 0.0))
     kept = tuple(entry for entry in ledger.entries if entry.holder.vm != me.vm)
     return replace(ledger, entries=kept)
 
@@ -234,16 +234,16 @@
         self._credited: dict[str, float] = {}
         self._uncertain = -1
 
-    def acting(self, account: str) -> int:
+    def usable_parts(self, account: str) -> int:
         """Return the parts of an account that this VM may use."""
         return self._acting.get(account, 0)
 
     @property
-    def uncertain(self) -> bool:
+    def write_in_doubt(self) -> bool:
         """Whether a write of unknown outcome may still land on the ledger last read."""
         return self.revision <= self._uncertain
 
-    def seen(self, revision: int, ledger: GroupLedger) -> None:
+    def apply_read(self, revision: int, ledger: GroupLedger) -> None:
         """Take in what a read showed; a read older than one before is passed over."""
         if revision < self.revision:
             return
@@ -253,11 +253,11 @@
             held = ledger.parts(self.me.vm, account)
             # A write that was sent on this revision and not answered can still take effect
             # and give to another VM what this VM would take back here.
-            if self.uncertain:
-                held = min(held, self.acting(account))
+            if self.write_in_doubt:
+                held = min(held, self.usable_parts(account))
             self._acting[account] = held
 
-    def credits(self) -> dict[str, float]:
+    def collect_credits(self) -> dict[str, float]:
         """Return the tokens that came with parts and were not returned here before."""
         fresh: dict[str, float] = {}
         for account, carried in self.ledger.carried(self.me.vm).items():
@@ -281,18 +281,18 @@
                 sent[account] = sent.get(account, 0.0) + carried - before.get(account, 0.0)
         return sent
 
-    def write_refused(self) -> None:
+    def undo_shrink(self) -> None:
         """Take back what a write would have given away that surely did not take effect."""
-        if self.uncertain:
+        if self.write_in_doubt:
             return
         for account in self.ledger.accounts:
             self._acting[account] = self.ledger.parts(self.me.vm, account)
 
-    def write_lost(self) -> None:
+    def mark_write_in_doubt(self) -> None:
         """Note that a write conditioned on the revision last read was not answered."""
         self._uncertain = max(self._uncertain, self.revision)
 
-    def drop_all(self) -> None:
+    def stop_using_all(self) -> None:
         """Act on nothing until a later read; used once another VM took over."""
         self._acting.clear()
         self._uncertain = max(self._uncertain, self.revision)
@@ -306,11 +306,11 @@
     by_data_centre: dict[str, list[Holder]] = {}
     for holder in holders:
         by_data_centre.setdefault(holder.data_centre, []).append(holder)
-    each = PARTS // len(by_data_centre)
+    each = PARTS_PER_ACCOUNT // len(by_data_centre)
     split = {
         holder: each // len(members) for members in by_data_centre.values() for holder in members
     }
-    split[holders[0]] += PARTS - sum(split.values())
+    split[holders[0]] += PARTS_PER_ACCOUNT - sum(split.values())
     return split
 
 
--- a/src/hickorybeam/policy/shedding.py
+++ b/src/hickorybeam/policy/shedding.py
@@ -18,15 +18,15 @@
     from hickorybeam.policy.fair_queue import FairQueue
     from hickorybeam.policy.job import Job
 
-__all__ = ("MemoryBound", "excess_jobs")
+__all__ = ("BodyMemoryLimit", "jobs_to_shed")
 
 
-def excess_jobs(queue: FairQueue, *, keep: float) -> list[Job]:
-    """Return the jobs to give up so that no more than ``keep`` tokens wait, in order.
+def jobs_to_shed(queue: FairQueue, *, max_backlog_tokens: float) -> list[Job]:
+    """Return the jobs to give up so that no more than ``max_backlog_tokens`` tokens wait, in order.
 
     The jobs are still in the queue; the caller removes them.
     """
-    excess = queue.backlog - keep
+    excess = queue.backlog - max_backlog_tokens
     if excess <= 0:
         return []
     chosen: list[Job] = []
@@ -53,7 +53,7 @@
     return (job.priority, -job.cost, -job.arrived)
 
 
-class MemoryBound:
+class BodyMemoryLimit:
     """Bytes of request bodies that this VM holds, queued and running.
 
     A burst of large bodies otherwise ends the process, and with it every stream it carries.
@@ -80,7 +80,7 @@
             return False
         return self._by_account.get(account, 0) + size <= max(size, free * self.SHARE_OF_FREE)
 
-    def hold(self, account: str, size: int) -> None:
+    def reserve(self, account: str, size: int) -> None:
         """Count a body as held."""
         self._held += size
         self._by_account[account] = self._by_account.get(account, 0) + size
--- a/src/hickorybeam/policy/shutdown.py
+++ b/src/hickorybeam/policy/shutdown.py
@@ -9,7 +9,7 @@
 
 from dataclasses import dataclass
 
-__all__ = ("Shutdown",)
+__all__ = ("ShutdownSchedule",)
 
 # Shares of the time that a shutdown may take.
 SERVE_ON_SHARE = 0.3
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Shutdown:
+class ShutdownSchedule:
     """The times of one shutdown, in ms after it began.
 
     :param grace_ms: how long it may take.
@@ -28,12 +28,12 @@
     grace_ms: float
 
     @property
-    def serve_on_ms(self) -> float:
+    def accept_all_until_ms(self) -> float:
         """Until when everything is taken: callers still hold lists that name the VM."""
         return self.grace_ms * SERVE_ON_SHARE
 
     @property
-    def accept_on_ms(self) -> float:
+    def accept_until_ms(self) -> float:
         """Until when connections are taken, for what surely ends in time.
 
         The last VM of a caller's homes is used up to there.
@@ -41,13 +41,13 @@
         return self.grace_ms * ACCEPT_ON_SHARE
 
     @property
-    def end_ms(self) -> float:
+    def finish_by_ms(self) -> float:
         """When all that runs has to be finished."""
         return self.grace_ms - END_MARGIN_MS
 
-    def finishes(self, *, since_ms: float, left_ms: float) -> bool:
+    def accepts(self, *, since_ms: float, left_ms: float) -> bool:
         """Return whether the VM takes a request with so much time left and surely ends it.
 
         :param since_ms: for how long the VM has been shutting down.
         """
-        return since_ms < self.accept_on_ms and since_ms + left_ms <= self.end_ms
+        return since_ms < self.accept_until_ms and since_ms + left_ms <= self.finish_by_ms
--- a/src/hickorybeam/policy/standing.py
+++ b/src/hickorybeam/policy/spending_lease.py
@@ -14,13 +14,13 @@
 
 from typing import Final
 
-__all__ = ("Standing", "TakeOverWatch")
+__all__ = ("SpendingLease", "TakeOverMonitor")
 
 # Clocks of two VMs may drift apart by this part of a time; crystal clocks keep to 0.0002.
 DRIFT: Final = 0.01
 
 
-class Standing:
+class SpendingLease:
     """How long this VM knows that nobody took its fractions over."""
 
     __slots__ = ("_lease_until", "_promise_until", "alone")
@@ -34,16 +34,16 @@
         """Note that the platform renewed the lease on a call sent at this time."""
         self._lease_until = max(self._lease_until, sent_ms + int(ttl_ms * (1 - DRIFT)))
 
-    def promised(self, sent_ms: int, promise_ms: int) -> None:
+    def neighbours_promised(self, sent_ms: int, promise_ms: int) -> None:
         """Note that every neighbour that answered promised not to take over."""
         self._promise_until = max(self._promise_until, sent_ms + int(promise_ms * (1 - DRIFT)))
 
-    def lost(self) -> None:
+    def revoke(self) -> None:
         """Note that the lease is gone or that a neighbour took over."""
         self._lease_until = -1
         self._promise_until = -1
 
-    def lease_holds(self, now_ms: int) -> bool:
+    def lease_valid(self, now_ms: int) -> bool:
         """Whether the platform's lease surely stands."""
         return now_ms < self._lease_until
 
@@ -52,7 +52,7 @@
         return now_ms < max(self._lease_until, self._promise_until)
 
 
-class TakeOverWatch:
+class TakeOverMonitor:
     """Which holders of this data centre seem dead, and since when without a break.
 
     :param settle_ms: how long a holder's lease must have been seen lapsed, with nothing heard
@@ -72,14 +72,14 @@
         self._promised[vm] = max(self._promised.get(vm, 0), now_ms + promise_ms)
         self._since.pop(vm, None)
 
-    def seen(self, vm: object, now_ms: int, *, lapsed: bool, heard: bool) -> bool:
+    def observe(self, vm: object, now_ms: int, *, lease_lapsed: bool, alive: bool) -> bool:
         """Take in one look at a holder.
 
-        :param lapsed: its key at the platform is gone.
-        :param heard: it is believed alive by membership.
+        :param lease_lapsed: its key at the platform is gone.
+        :param alive: it is believed alive by membership.
         :return: whether its fractions may be taken over now.
         """
-        if not lapsed or heard or now_ms < self._promised.get(vm, -1):
+        if not lease_lapsed or alive or now_ms < self._promised.get(vm, -1):
             self._since.pop(vm, None)
             return False
         return now_ms - self._since.setdefault(vm, now_ms) >= self._settle_ms
--- a/src/hickorybeam/policy/token_bucket.py
+++ b/src/hickorybeam/policy/token_bucket.py
@@ -47,12 +47,12 @@
     :param now_ms: time of creation; the bucket starts empty.
     """
 
-    __slots__ = ("_at_ms", "_level", "_marks", "capacity", "lent", "rate")
+    __slots__ = ("_at_ms", "_level", "_marks", "capacity", "lent_capacity", "rate")
 
     def __init__(self, *, capacity: float, rate: float, now_ms: int) -> None:
         self.capacity = capacity
         self.rate = rate
-        self.lent = 0.0
+        self.lent_capacity = 0.0
         self._level = 0.0
         self._at_ms = now_ms
         self._marks: list[_Mark] = []
@@ -70,10 +70,10 @@
         self._refill(now_ms)
         if tokens > 0 and self._level < tokens:
             return False
-        self.admit(tokens, now_ms, admission)
+        self.take_unchecked(tokens, now_ms, admission)
         return True
 
-    def admit(self, tokens: float, now_ms: int, admission: int) -> None:
+    def take_unchecked(self, tokens: float, now_ms: int, admission: int) -> None:
         """Take tokens that the caller has found to be there, together with others elsewhere."""
         self._refill(now_ms)
         self._level -= tokens
@@ -130,13 +130,13 @@
         self._refill(now_ms)
         lent = max(0.0, min(tokens, self._level))
         self._level -= lent
-        self.lent += lent
+        self.lent_capacity += lent
         return lent
 
     def restore(self, tokens: float, returned: float, now_ms: int) -> None:
         """Take lent capacity back, with those of its tokens that were returned."""
         self._refill(now_ms)
-        self.lent = max(0.0, self.lent - tokens)
+        self.lent_capacity = max(0.0, self.lent_capacity - tokens)
         self._level += min(tokens, returned)
         self._clip()
 
@@ -150,7 +150,7 @@
         return int(missing / self.rate * MS_PER_SECOND) + 1
 
     def _fits(self) -> float:
-        return max(0.0, self.capacity - self.lent)
+        return max(0.0, self.capacity - self.lent_capacity)
 
     def _room(self) -> float:
         return self._fits() - self._level
--- a/src/hickorybeam/policy/watchers.py
+++ b/src/hickorybeam/policy/watchers.py
@@ -11,12 +11,12 @@
 
 from typing import TYPE_CHECKING
 
-from hickorybeam.policy.cold_limit import rendezvous
+from hickorybeam.policy.cold_limit import rendezvous_order
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-__all__ = ("watchers_of", "watches_itself")
+__all__ = ("count_watchers", "should_watch")
 
 # Watchers of a data centre: one can be lost, cut off or turned away, and the other goes on.
 WATCHERS = 2
@@ -25,21 +25,21 @@
 ORDER = "watches the store"
 
 
-def watches_itself(me: str, heard: Mapping[str, bool]) -> bool:
+def should_watch(me: str, live_peers: Mapping[str, bool]) -> bool:
     """Whether a VM watches the store itself.
 
     :param me: its name.
-    :param heard: the other VMs of its data centre that it has heard lately, and whether each
+    :param live_peers: the other VMs of its data centre that it has heard lately, and whether each
         follows the store.
     """
-    if len(heard) + 1 <= MOST_THAT_ALL_WATCH:
+    if len(live_peers) + 1 <= MOST_THAT_ALL_WATCH:
         return True
-    order = rendezvous(ORDER, [me, *heard])
+    order = rendezvous_order(ORDER, [me, *live_peers])
     before = order[: order.index(me)]
-    return sum(heard[name] for name in before) < WATCHERS
+    return sum(live_peers[name] for name in before) < WATCHERS
 
 
-def watchers_of(centres: Mapping[str, int]) -> int:
+def count_watchers(centres: Mapping[str, int]) -> int:
     """Return how many VMs watch the store in all.
 
     :param centres: how many VMs each data centre has.
--- a/src/hickorybeam/shares/accounts.py
+++ b/src/hickorybeam/shares/accounts.py
@@ -6,8 +6,8 @@
 from typing import TYPE_CHECKING
 
 from hickorybeam.policy.loans import Borrower, Lender
-from hickorybeam.policy.rebalance import Rates
-from hickorybeam.policy.shares import PARTS
+from hickorybeam.policy.rebalance import DecayingRates
+from hickorybeam.policy.shares import PARTS_PER_ACCOUNT
 from hickorybeam.policy.token_bucket import TokenBucket
 
 if TYPE_CHECKING:
@@ -30,7 +30,7 @@
         self.buckets: dict[str, TokenBucket] = {}
         self.lender = Lender(duration_ms=cfg.loan_ms, margin_ms=cfg.loan_margin_ms)
         self.borrower = Borrower()
-        self.spent = Rates()
+        self.spent = DecayingRates()
         self._admissions = itertools.count(1)
         self._begun: set[str] = set()
 
@@ -58,13 +58,13 @@
                     continue
                 bucket = TokenBucket(capacity=0.0, rate=0.0, now_ms=now_ms)
                 self.buckets[name] = bucket
-            share = held / PARTS
+            share = held / PARTS_PER_ACCOUNT
             burst, rate = (account.burst, account.rate) if account else (0.0, 0.0)
             if (bucket.capacity, bucket.rate) != (burst * share, rate * share):
                 bucket.resize(capacity=burst * share, rate=rate * share, now_ms=now_ms)
             if account and name not in self._begun and held:
                 self._begun.add(name)
-                bucket.fill(burst * min(share, first(name) / PARTS), now_ms)
+                bucket.fill(burst * min(share, first(name) / PARTS_PER_ACCOUNT), now_ms)
 
     def move(self, tokens: Mapping[str, float], now_ms: int) -> None:
         """Put in tokens that came with fractions, take out (negative) those that went."""
@@ -103,7 +103,7 @@
         rest = tokens - self.borrower.spend(account, tokens, now_ms)
         bucket = self.buckets.get(account)
         if bucket is not None:
-            bucket.admit(max(0.0, rest), now_ms, admission)
+            bucket.take_unchecked(max(0.0, rest), now_ms, admission)
         self.spent.add(account, tokens, now_ms)
         return admission
 
@@ -121,8 +121,8 @@
         """Return the parts of an account that loans occupy, rounded up."""
         bucket = self.buckets.get(account)
         burst = self.accounts[account].burst if account in self.accounts else 0.0
-        if bucket is None or bucket.lent <= 0:
+        if bucket is None or bucket.lent_capacity <= 0:
             return 0
         if burst <= 0:
-            return PARTS
-        return min(PARTS, int(bucket.lent / burst * PARTS) + 1)
+            return PARTS_PER_ACCOUNT
+        return min(PARTS_PER_ACCOUNT, int(bucket.lent_capacity / burst * PARTS_PER_ACCOUNT) + 1)
--- a/src/hickorybeam/shares/ledger.py
+++ b/src/hickorybeam/shares/ledger.py
@@ -17,11 +17,11 @@
     create_accounts,
     group_of,
     planned_holders,
-    release,
-    take_free,
+    release_parts,
+    claim_free_parts,
     take_over,
 )
-from hickorybeam.policy.standing import Standing, TakeOverWatch
+from hickorybeam.policy.spending_lease import SpendingLease, TakeOverMonitor
 from hickorybeam.store.port import Compare, Put
 
 if TYPE_CHECKING:
@@ -85,10 +85,10 @@
         levels: Callable[[], dict[str, float]],
     ) -> None:
         self.me = me
-        self.standing = Standing()
+        self.lease_state = SpendingLease()
         self.groups = {number: GroupShares(me) for number in range(cfg.shares.groups)}
         settle_ms = cfg.shares.loan_ms + cfg.shares.loan_margin_ms
-        self._watch = TakeOverWatch(settle_ms=settle_ms)
+        self._watch = TakeOverMonitor(settle_ms=settle_ms)
         self._cfg = cfg
         self._clock = clock
         self._book = book
@@ -110,17 +110,17 @@
         """Use this platform."""
         self._platform = platform
 
-    def acting(self, account: str) -> int:
+    def usable_parts(self, account: str) -> int:
         """Return the parts of an account that this VM acts on."""
-        return self._group(account).acting(account)
+        return self._group(account).usable_parts(account)
 
     def knows(self, account: str) -> bool:
         """Whether an account is entered in the ledger last read."""
         return account in self._group(account).ledger.accounts
 
-    def first_parts(self, account: str) -> int:
+    def initial_parts(self, account: str) -> int:
         """Return what this VM was given when the account was entered."""
-        return self._group(account).ledger.first_parts(self.me.vm, account)
+        return self._group(account).ledger.initial_parts(self.me.vm, account)
 
     def holders_of(self, account: str) -> dict[Holder, int]:
         """Return who holds parts of an account, by the ledger last read."""
@@ -147,10 +147,10 @@
 
     def taken(self) -> None:
         """Act on nothing until the ledger has been read: a neighbour took over."""
-        self.standing.lost()
+        self.lease_state.revoke()
         self._confirmed = False
         for group in self.groups.values():
-            group.drop_all()
+            group.stop_using_all()
         self._book({})
 
     def hurry(self) -> None:
@@ -194,10 +194,10 @@
         if not self._confirmed and self._lease and _holder_key(self.me) in self._leases:
             # The key was seen after it was put: no neighbour can take over while it stands.
             self._confirmed = True
-            self.standing.lease_renewed(self._renewed_ms, self._cfg.platform.lease_ms)
+            self.lease_state.lease_renewed(self._renewed_ms, self._cfg.platform.lease_ms)
         came: dict[str, float] = {}
         for group in self.groups.values():
-            came.update(group.credits())
+            came.update(group.collect_credits())
         self._book(came)
 
     async def write(
@@ -207,7 +207,7 @@
         gifts: Callable[[GroupLedger, tuple[Holder, ...]], GroupLedger],
     ) -> None:
         """Write what this VM should change: new accounts, dead neighbours, gifts, repairs."""
-        if not self._confirmed or not self.standing.lease_holds(self._clock.now()):
+        if not self._confirmed or not self.lease_state.lease_valid(self._clock.now()):
             return
         by_group: dict[int, list[str]] = {number: [] for number in self.groups}
         for name in accounts:
@@ -216,7 +216,7 @@
         dead = self._dead(fleet)
         for number, group in self.groups.items():
             ledger = self._planned(number, by_group[number], fleet, dead, gifts)
-            if ledger != group.ledger or group.uncertain:
+            if ledger != group.ledger or group.write_in_doubt:
                 planned[number] = ledger
         await self._write_some(planned, dead)
         if planned:
@@ -236,7 +236,7 @@
         if self._lease:
             await self._call("revoke", self._port().revoke(self._lease))
             self._lease = 0
-        self.standing.lost()
+        self.lease_state.revoke()
 
     def _released(self, fleet: Fleet) -> dict[int, GroupLedger]:
         planned: dict[int, GroupLedger] = {}
@@ -245,7 +245,7 @@
             choice = planned_holders(number, others)
             here = [one for one in choice if one.data_centre == self.me.data_centre]
             to = next(iter([*here, *choice]), None)
-            ledger = release(group.ledger, self.me, to, self._levels())
+            ledger = release_parts(group.ledger, self.me, to, self._levels())
             if ledger != group.ledger:
                 planned[number] = ledger
         return planned
@@ -259,7 +259,7 @@
         gifts: Callable[[GroupLedger, tuple[Holder, ...]], GroupLedger],
     ) -> GroupLedger:
         group = self.groups[number]
-        if group.uncertain:
+        if group.write_in_doubt:
             # A write without an answer may still land. Writing the same ledger again moves
             # the revision on, after which it cannot.
             return group.ledger
@@ -270,7 +270,7 @@
             for holder in dead:
                 ledger = take_over(ledger, self.me, holder)
             for name in accounts:
-                ledger = take_free(ledger, self.me, name)
+                ledger = claim_free_parts(ledger, self.me, name)
         return gifts(ledger, holders)
 
     async def _write_some(self, planned: dict[int, GroupLedger], dead: tuple[Holder, ...]) -> bool:
@@ -320,12 +320,12 @@
 
     def _lost(self, numbers: list[int]) -> None:
         for number in numbers:
-            self.groups[number].write_lost()
+            self.groups[number].mark_write_in_doubt()
 
     def _undo(self, numbers: list[int], sent: dict[str, float], gone: list[Holder]) -> None:
         """Go on as before a write that surely did not take effect."""
         for number in numbers:
-            self.groups[number].write_refused()
+            self.groups[number].undo_shrink()
         self._attempted.difference_update(holder.vm for holder in gone)
         self._book(sent)
 
@@ -350,11 +350,11 @@
         return tuple(
             holder
             for holder in sorted(here)
-            if self._watch.seen(
+            if self._watch.observe(
                 holder.vm,
                 now,
-                lapsed=_holder_key(holder) not in self._leases,
-                heard=fleet.has(holder.vm),
+                lease_lapsed=_holder_key(holder) not in self._leases,
+                alive=fleet.has(holder.vm),
             )
         )
 
@@ -374,8 +374,8 @@
                 continue
             group = self.groups[number]
             changed = changed or item.mod_revision > group.revision
-            group.seen(item.mod_revision, ledger)
-        if not any(group.uncertain for group in self.groups.values()):
+            group.apply_read(item.mod_revision, ledger)
+        if not any(group.write_in_doubt for group in self.groups.values()):
             # Whoever holds a lease now and was not taken over by a write still under way
             # needs no "taken" from this VM any more.
             self._attempted -= {_vm_of(key) for key in self._leases}
@@ -391,7 +391,7 @@
             return False
         self._renewed_ms = now
         if self._confirmed:
-            self.standing.lease_renewed(now, ttl)
+            self.lease_state.lease_renewed(now, ttl)
         return True
 
     def _group(self, account: str) -> GroupShares:
--- a/src/hickorybeam/shares/lending.py
+++ b/src/hickorybeam/shares/lending.py
@@ -9,7 +9,7 @@
 
 from hickorybeam.errors import GatewayError
 from hickorybeam.kernel import Mailbox, Reply
-from hickorybeam.policy.rebalance import Rates
+from hickorybeam.policy.rebalance import DecayingRates
 from hickorybeam.shares.messages import LOANS, LoanReply, LoanRequest, Want
 
 if TYPE_CHECKING:
@@ -93,7 +93,7 @@
         self._reports: dict[VmId, list[ClosedLoan]] = {}
         self._last_round = -ROUND_MS
         self._lately = False
-        self.lent = Rates()
+        self.lent = DecayingRates()
         self.lending = True
         self._messages = counters.counter("share_messages", "Share messages to peers", ("outcome",))
         self._lent_total = counters.counter("share_lent_tokens", "Tokens lent to peers")
@@ -277,6 +277,6 @@
         return arrived < self._missing(account, tokens)
 
     def _collect_reports(self) -> None:
-        for lender in self._books.borrower.lenders():
-            closed = self._books.borrower.reports(lender)
+        for lender in self._books.borrower.lenders_due_reports():
+            closed = self._books.borrower.take_reports(lender)
             self._reports.setdefault(lender, []).extend(closed)
--- a/src/hickorybeam/shares/service.py
+++ b/src/hickorybeam/shares/service.py
@@ -13,8 +13,8 @@
 from hickorybeam.errors import ErrorKind, GatewayError
 from hickorybeam.kernel import Mailbox, Reply, Service
 from hickorybeam.model import VmId, VmState
-from hickorybeam.policy.rebalance import Demand, plan_gifts
-from hickorybeam.policy.shares import PARTS, GroupLedger, Holder
+from hickorybeam.policy.rebalance import AccountDemand, plan_transfers
+from hickorybeam.policy.shares import PARTS_PER_ACCOUNT, GroupLedger, Holder
 from hickorybeam.shares.accounts import AccountBuckets
 from hickorybeam.shares.ledger import Fleet, LedgerKeeper
 from hickorybeam.shares.lending import Lending, Source
@@ -136,7 +136,7 @@
         self._draining = True
         self._lending.lending = False
         for account in self._books.borrower.accounts():
-            self._books.borrower.give_back(account)
+            self._books.borrower.return_loans(account)
         await self._lending.report_closed()
         # Fractions that carry open loans cannot be handed on: the loan's tokens would be
         # spent by its borrower and once more by the new holder.
@@ -188,9 +188,9 @@
     def _account_status(self, account: str, now: int) -> dict[str, float]:
         bucket = self._books.buckets[account]
         return {
-            "fraction": self._keeper.acting(account) / PARTS,
+            "fraction": self._keeper.usable_parts(account) / PARTS_PER_ACCOUNT,
             "tokens": round(bucket.level(now)),
-            "lent": round(bucket.lent),
+            "lent": round(bucket.lent_capacity),
             "borrowed": round(self._books.borrower.available(account, now)),
             "spent_per_s": round(self._books.spent.rate(account, now)),
         }
@@ -203,7 +203,7 @@
         return self._books.available(account, self._clock.now(), own=self._may_spend())
 
     def _may_spend(self) -> bool:
-        return self._keeper.standing.may_spend(self._clock.now())
+        return self._keeper.lease_state.may_spend(self._clock.now())
 
     def _terms(self, account: str) -> ClientAccount:
         terms = self._books.accounts.get(account)
@@ -284,7 +284,7 @@
         # A lease that ends before the round after next is as good as gone: asked only then,
         # the neighbours' promise would come after a gap in which requests are refused.
         soon = self._clock.now() + 2 * self._cfg.shares.rebalance_ms
-        if not self._keeper.standing.lease_holds(soon):
+        if not self._keeper.lease_state.lease_valid(soon):
             await self._ask_neighbours()
         await self._tell_moved(self._keeper.receivers())
         await self._lending.report_closed()
@@ -315,13 +315,13 @@
         promise_ms = 3 * self._cfg.shares.rebalance_ms
         neighbours = self._keeper.neighbours()
         if not neighbours:
-            self._keeper.standing.promised(sent, promise_ms)
+            self._keeper.lease_state.neighbours_promised(sent, promise_ms)
             return
         replies = await self._ask_each(neighbours, STANDING, StandingRequest(promise_ms))
         if any(reply.taken for reply in replies):
             self._keeper.taken()
         elif replies:
-            self._keeper.standing.promised(sent, promise_ms)
+            self._keeper.lease_state.neighbours_promised(sent, promise_ms)
 
     async def _ask_each(self, vms: set[VmId], topic: ports.Topic[Q, R], request: Q) -> list[R]:
         """Ask several VMs at once and return the replies of those that answer."""
@@ -367,7 +367,7 @@
             self._resize()
 
     def _resize(self) -> None:
-        self._books.apply_parts(self._keeper.acting, self._keeper.first_parts, self._clock.now())
+        self._books.apply_parts(self._keeper.usable_parts, self._keeper.initial_parts, self._clock.now())
 
     @property
     def _keeper(self) -> LedgerKeeper:
@@ -408,21 +408,21 @@
             for name, parts in ledger.parts_of(self._keeper.me.vm).items()
             if parts and name in accounts
         }
-        return plan_gifts(ledger, self._keeper.me, planned, demands, floor=self._cfg.shares.floor)
+        return plan_transfers(ledger, self._keeper.me, planned, demands, floor=self._cfg.shares.floor)
 
-    def _demand(self, account: ClientAccount, planned: tuple[Holder, ...], now: int) -> Demand:
+    def _demand(self, account: ClientAccount, planned: tuple[Holder, ...], now: int) -> AccountDemand:
         lent = {
             holder: rate
             for holder in planned
             if (rate := self._lending.lent.rate((account.name, holder.vm), now)) > 0
         }
         bucket = self._books.buckets.get(account.name)
-        return Demand(
-            rate=account.rate,
-            own=self._books.spent.rate(account.name, now),
+        return AccountDemand(
+            account_rate=account.rate,
+            local_rate=self._books.spent.rate(account.name, now),
             level=bucket.level(now) if bucket else 0.0,
-            lent=lent,
-            keep=self._books.lent_parts(account.name),
+            lent_rates=lent,
+            reserved_parts=self._books.lent_parts(account.name),
         )
 
     def _sources(self, account: str) -> list[Source]:
--- a/src/hickorybeam/store/port.py
+++ b/src/hickorybeam/store/port.py
@@ -134,9 +134,9 @@
 class PacedPlatform(Platform, Protocol):
     """A platform whose watches are made of calls, which are counted.
 
-    ``watch_wait_ms`` is how long one call may wait, ``watch_rest_ms`` the pause after one that
+    ``watch_poll_timeout_ms`` is how long one call may wait, ``watch_pause_ms`` the pause after one that
     brought changes.
     """
 
-    watch_wait_ms: int
-    watch_rest_ms: int
+    watch_poll_timeout_ms: int
+    watch_pause_ms: int
--- a/tests/steps/gateway/gateway_steps.py
+++ b/tests/steps/gateway/gateway_steps.py
@@ -15,7 +15,7 @@
 from hickorybeam.errors import ErrorKind, GatewayError
 from hickorybeam.gateway.reload import SettingsFile
 from hickorybeam.http1.head import request_bytes
-from hickorybeam.policy.attempt_budget import RepeatBounds
+from hickorybeam.policy.fleet_retry_budget import FleetRetryLimits
 from hickorybeam.settings import load_settings
 from hickorybeam.standins.deployment import HOST, KEYS, caller_headers, first_config
 from hickorybeam.store import KeyValue, Put, WatchBatch
@@ -1001,7 +1001,7 @@
     path = context.rig.vms[vm].relay._path
     for service in ("books", "model"):
         budget = path._budget(service)
-        budget.change(RepeatBounds(ratio=0.0, allowance=0.0, window_ms=1_000_000))
+        budget.reconfigure(FleetRetryLimits(ratio=0.0, allowance=0.0, window_ms=1_000_000))
         now = SystemClock().now()
         while budget.take(now, 1):
             pass
--- a/tests/steps/platform/platform_steps.py
+++ b/tests/steps/platform/platform_steps.py
@@ -232,7 +232,7 @@
 
 @given("the client's watch rests {ms:d} ms after a call that brought changes")
 def step_rest(context, ms):
-    context.client.watch_rest_ms = ms
+    context.client.watch_pause_ms = ms
 
 
 @when("{count:d} changes of one key were made")
--- a/tests/steps/policy/fleet_quota_steps.py
+++ b/tests/steps/policy/fleet_quota_steps.py
@@ -41,8 +41,8 @@
             if i != index:
                 younger = self.started[index] > self.started[i]
                 life = f"{index}/{self.lives[index]}"
-                self.vms[i].heard(life, me.totals(), self.now, younger=younger)
-        me.reach(len(heard), self.size, self.now)
+                self.vms[i].apply_totals(life, me.spent_totals(), self.now, started_later=younger)
+        me.set_live_vms(len(heard), self.size, self.now)
 
     def run(self, ms, *, send=None, restart_ms=0):
         restarts = itertools.cycle(range(self.size))
@@ -63,7 +63,7 @@
         self.started[index] = self.now
         self.lives[index] += 1
         other = self.vms[(index + 1) % self.size]
-        self.vms[index].adopt(other.levels(), self.now)
+        self.vms[index].adopt_levels(other.levels(), self.now)
 
     def spend(self, index):
         self.asked += 1
--- a/tests/steps/policy/gateway_decisions_steps.py
+++ b/tests/steps/policy/gateway_decisions_steps.py
@@ -12,8 +12,8 @@
     Route,
     WeightedService,
 )
-from hickorybeam.policy.attempt_budget import AttemptBudget, RepeatBounds
-from hickorybeam.policy.cold_limit import ColdLimit, cold_owners
+from hickorybeam.policy.fleet_retry_budget import FleetRetryBudget, FleetRetryLimits
+from hickorybeam.policy.cold_limit import ColdServerLimiter, cold_server_owners
 from hickorybeam.policy.first_byte import first_byte_ms
 from hickorybeam.policy.route_table import RouteTable, pick_target
 from hickorybeam.policy.server_choice import ServerStanding, choose_server, wait_ms
@@ -67,8 +67,8 @@
 
 @given("a repeat budget of {ratio:g} and {allowance:d} in 10 s for {vms:d} VMs")
 def step_budget(context, ratio, allowance, vms):
-    bounds = RepeatBounds(ratio=ratio, allowance=allowance, window_ms=10_000)
-    context.budgets = [AttemptBudget(bounds) for _ in range(vms)]
+    bounds = FleetRetryLimits(ratio=ratio, allowance=allowance, window_ms=10_000)
+    context.budgets = [FleetRetryBudget(bounds) for _ in range(vms)]
     context.ratio, context.allowance = ratio, allowance
 
 
@@ -79,7 +79,7 @@
     for number in range(rate * seconds):
         at = number * 1000 // rate
         for budget in context.budgets:
-            budget.earn(at, vms)
+            budget.record_request(at, vms)
             context.asked.append(at)
             if budget.take(at, vms):
                 context.repeats.append(at)
@@ -103,7 +103,7 @@
 def step_cold(context, per_s, vms):
     names = [f"vm-{number}" for number in range(vms)]
     context.cold = [
-        ColdLimit(per_s=per_s, now_ms=NOW) for name in names if name in cold_owners("i-1", names)
+        ColdServerLimiter(rate_per_s=per_s, now_ms=NOW) for name in names if name in cold_server_owners("i-1", names)
     ]
 
 
--- a/tests/steps/policy/load_decisions_steps.py
+++ b/tests/steps/policy/load_decisions_steps.py
@@ -16,8 +16,8 @@
 from hickorybeam.policy.job import Job
 from hickorybeam.policy.profile import profile_named
 from hickorybeam.policy.region_choice import RegionChoice
-from hickorybeam.policy.retry import RetryBudget, may_repeat
-from hickorybeam.policy.shedding import MemoryBound, excess_jobs
+from hickorybeam.policy.retry import RetryBudget, may_retry
+from hickorybeam.policy.shedding import BodyMemoryLimit, jobs_to_shed
 
 COST = 100
 
@@ -99,7 +99,7 @@
 @then('a call that is "{idempotent}" after "{kind}" with ran "{ran}" is sent again: "{again}"')
 def step_repeat(context, idempotent, kind, ran, again):
     exc = GatewayError(ErrorKind(kind), ran=Ran(ran))
-    assert may_repeat(exc, idempotent=idempotent == "idempotent") == (again == "yes")
+    assert may_retry(exc, idempotent=idempotent == "idempotent") == (again == "yes")
 
 
 @then("{calls:d} failing calls make at most {most:d} retries")
@@ -107,7 +107,7 @@
     budget = RetryBudget()
     made = 0
     for _ in range(calls):
-        budget.first_attempt()
+        budget.record_first_attempt()
         made += budget.take()
     assert 0 < made <= most, made
 
@@ -128,29 +128,29 @@
 
 def answer(context, name, ms):
     number = next(context.jobs)
-    context.health.started(name, number, context.now, scale=1.0)
+    context.health.record_start(name, number, context.now, scale=1.0)
     context.now += ms
-    context.health.first_token(name, number, context.now, context.servers)
-    context.health.succeeded(name, context.now)
-    context.health.check(context.now, context.servers)
+    context.health.record_first_token(name, number, context.now, context.servers)
+    context.health.record_success(name, context.now)
+    context.health.update_states(context.now, context.servers)
 
 
 @when("every health server fails {count:d} times")
 def step_all_fail(context, count):
     for _ in range(count):
         for name in context.servers:
-            context.health.failed(name, next(context.jobs), context.now, context.servers)
+            context.health.record_failure(name, next(context.jobs), context.now, context.servers)
 
 
 @when('health server "{name}" fails {count:d} times')
 def step_fails(context, name, count):
     for _ in range(count):
-        context.health.failed(name, next(context.jobs), context.now, context.servers)
+        context.health.record_failure(name, next(context.jobs), context.now, context.servers)
 
 
 @when('health server "{name}" succeeds')
 def step_succeeds(context, name):
-    context.health.succeeded(name, context.now)
+    context.health.record_success(name, context.now)
 
 
 @when('health server "{name}" takes {ms:d} ms for {count:d} first tokens')
@@ -161,25 +161,25 @@
 
 @when('health server "{name}" answers a probe in {ms:d} ms')
 def step_probe(context, name, ms):
-    assert context.health.standing(name).name == "PROBING"
+    assert context.health.state(name).name == "PROBING"
     answer(context, name, ms)
 
 
 @when("{ms:d} health ms pass")
 def step_time(context, ms):
     context.now += ms
-    context.health.check(context.now, context.servers)
+    context.health.update_states(context.now, context.servers)
 
 
 @then("{count:d} health servers are ejected")
 def step_ejected(context, count):
-    standings = [context.health.standing(name).name for name in context.servers]
+    standings = [context.health.state(name).name for name in context.servers]
     assert standings.count("EJECTED") == count, standings
 
 
 @then('health server "{name}" is "{standing}" with weight {weight:g}')
 def step_standing(context, name, standing, weight):
-    found = context.health.standing(name).name, context.health.weight(name, context.now)
+    found = context.health.state(name).name, context.health.weight(name, context.now)
     assert found[0] == standing, found
     # Recent failures still count a little; the base weight is what is stated.
     assert weight * 0.3 <= found[1] <= weight + 1e-9, found
@@ -187,14 +187,14 @@
 
 @then('health server "{name}" rests and is suspect')
 def step_rests(context, name):
-    assert context.health.is_resting(name, context.now)
+    assert context.health.is_backing_off(name, context.now)
     assert context.health.is_suspect(name)
 
 
 @then('health server "{name}" may be tried')
 def step_may_be_tried(context, name):
-    assert not context.health.is_resting(name, context.now)
-    assert context.health.next_try([name], context.now) == 0
+    assert not context.health.is_backing_off(name, context.now)
+    assert context.health.ms_until_available([name], context.now) == 0
 
 
 @then('health server "{name}" is not suspect')
@@ -263,18 +263,18 @@
 def step_adapt(context):
     now = 0
     for limit in context.limits:
-        limit.first_token(30.0, now, at_server=0)
+        limit.record_first_token(30.0, now, in_flight=0)
     for _ in range(3_000):
         now += 20
-        used = sum(limit.allowed for limit in context.limits)
+        used = sum(limit.max_in_flight for limit in context.limits)
         time = 30.0 + 120.0 * max(0, used - context.slots)
         for limit in context.limits:
-            limit.first_token(time, now, at_server=limit.allowed)
+            limit.record_first_token(time, now, in_flight=limit.max_in_flight)
 
 
 @then("the adaptive limits differ by at most {most:d} and use at least {least:d} slots")
 def step_settle(context, most, least):
-    allowed = [limit.allowed for limit in context.limits]
+    allowed = [limit.max_in_flight for limit in context.limits]
     assert abs(allowed[0] - allowed[1]) <= most, allowed
     assert sum(allowed) >= least, allowed
 
@@ -348,20 +348,20 @@
 
 @then('jobs are given up in the order "{order}"')
 def step_order(context, order):
-    given_up = [context.names[one.id] for one in excess_jobs(context.queue, keep=0)]
+    given_up = [context.names[one.id] for one in jobs_to_shed(context.queue, max_backlog_tokens=0)]
     assert given_up == order.split(), given_up
 
 
 @given("memory for bodies of {size:d} bytes")
 def step_memory(context, size):
-    context.memory = MemoryBound(size)
+    context.memory = BodyMemoryLimit(size)
 
 
 @when('account "{account}" holds as many bodies of {size:d} bytes as fit')
 def step_hold(context, account, size):
     context.held = 0
     while context.memory.fits(account, size):
-        context.memory.hold(account, size)
+        context.memory.reserve(account, size)
         context.held += size
 
 
--- a/tests/steps/policy/once_machine.py
+++ b/tests/steps/policy/once_machine.py
@@ -17,11 +17,11 @@
 from hickorybeam.policy.at_most_once import (
     Claim,
     ClaimState,
-    KeyTable,
+    IdempotencyKeyTable,
     Refused,
     Replay,
     Start,
-    claim_verdict,
+    decide_claim,
 )
 
 KEYS = ("k1", "k2")
@@ -60,7 +60,7 @@
         self.wrong = []
 
     def table(self):
-        return KeyTable(limit=10, answer_bytes=100)
+        return IdempotencyKeyTable(limit=10, answer_bytes=100)
 
     def me(self, attempt):
         return VmId(f"vm{attempt.vm}", str(attempt.generation))
@@ -138,7 +138,7 @@
         if (claim.owner, claim.attempt) == (self.me(attempt), str(attempt.number)):
             attempt.step = "run"
             return
-        verdict = claim_verdict(
+        verdict = decide_claim(
             claim,
             me=self.me(attempt),
             attempt=str(attempt.number),
@@ -174,7 +174,7 @@
             table.finish(attempt.key, 201, ("answer",), 60)
             state = ClaimState.FINISHED
         elif outcome == "unknown":
-            table.lose(attempt.key)
+            table.mark_unknown(attempt.key)
             state = ClaimState.UNKNOWN
         attempt.step = "settle" if state else "free"
         attempt.state = state
--- a/tests/steps/policy/once_machine_steps.py
+++ b/tests/steps/policy/once_machine_steps.py
@@ -5,7 +5,7 @@
 from hypothesis.stateful import run_state_machine_as_test
 from tests.steps.policy.once_machine import OnceMachine
 
-from hickorybeam.policy.at_most_once import KeyTable, Refused, Start
+from hickorybeam.policy.at_most_once import IdempotencyKeyTable, Refused, Start
 
 
 @then("{examples:d} runs of {steps:d} once events never run a key twice")
@@ -25,7 +25,7 @@
 
 @given("a once table for {limit:d} keys")
 def step_table(context, limit):
-    context.once_table = KeyTable(limit=limit, answer_bytes=0)
+    context.once_table = IdempotencyKeyTable(limit=limit, answer_bytes=0)
 
 
 @when('keys "{keys}" are used in the once table at {now:d} until {until:d}')
--- a/tests/steps/policy/share_machine.py
+++ b/tests/steps/policy/share_machine.py
@@ -15,12 +15,12 @@
 from hickorybeam.model import VmId
 from hickorybeam.policy.loans import Borrower, Lender
 from hickorybeam.policy.shares import (
-    PARTS,
+    PARTS_PER_ACCOUNT,
     GroupLedger,
     GroupShares,
     Holder,
     create_accounts,
-    give,
+    transfer_parts,
     take_over,
 )
 from hickorybeam.policy.token_bucket import TokenBucket
@@ -49,7 +49,7 @@
 
     def resize(self, now):
         rate, burst = TERMS[self.terms]
-        share = self.shares.acting(ACCOUNT) / PARTS
+        share = self.shares.usable_parts(ACCOUNT) / PARTS_PER_ACCOUNT
         self.bucket.resize(capacity=burst * share, rate=rate * share, now_ms=now)
 
 
@@ -95,14 +95,14 @@
         return Vm(holder, GroupShares(holder), bucket, awake_ms=self.now)
 
     def read(self, vm):
-        vm.shares.seen(self.revision, self.ledger)
+        vm.shares.apply_read(self.revision, self.ledger)
         vm.resize(self.now)
-        first = self.ledger.first_parts(vm.holder.vm, ACCOUNT)
-        if not vm.begun and vm.shares.acting(ACCOUNT):
+        first = self.ledger.initial_parts(vm.holder.vm, ACCOUNT)
+        if not vm.begun and vm.shares.usable_parts(ACCOUNT):
             vm.begun = True
-            share = min(vm.shares.acting(ACCOUNT), first) / PARTS
+            share = min(vm.shares.usable_parts(ACCOUNT), first) / PARTS_PER_ACCOUNT
             vm.bucket.fill(TERMS[vm.terms][1] * share, self.now)
-        for tokens in vm.shares.credits().values():
+        for tokens in vm.shares.collect_credits().values():
             vm.bucket.credit(tokens, self.now)
 
     def awake(self, number):
@@ -131,7 +131,7 @@
     def take_over_dead(self, number):
         """Loans that the dead VM granted right before it died have run out by then."""
         vm = self.vms[number]
-        if not self.awake(number) or vm.shares.uncertain or vm.shares.revision != self.revision:
+        if not self.awake(number) or vm.shares.write_in_doubt or vm.shares.revision != self.revision:
             return
         for holder, since in self.dead.items():
             if self.now - since >= LOAN_MS + MARGIN_MS:
@@ -150,7 +150,7 @@
             return
         rest = tokens - vm.borrower.spend(ACCOUNT, tokens, self.now)
         vm.admissions += 1
-        vm.bucket.admit(max(0.0, rest), self.now, vm.admissions)
+        vm.bucket.take_unchecked(max(0.0, rest), self.now, vm.admissions)
         self.spends.append(Spend(self.now, vm.holder, vm.admissions, tokens, tokens))
 
     @rule(numbers=st.sampled_from(((0,), (1, 2), (0, 1, 2))))
@@ -193,14 +193,14 @@
         if number == other or not self.awake(number):
             return
         vm = self.vms[number]
-        closed = vm.borrower.reports(self.vms[other].holder.vm)
+        closed = vm.borrower.take_reports(self.vms[other].holder.vm)
         to = self.vms[other].holder
         self.messages.append(("ask", vm.holder, to, want, closed, self.now))
 
     @rule(number=VMS)
     def repay(self, number):
         if self.awake(number):
-            self.vms[number].borrower.give_back(ACCOUNT)
+            self.vms[number].borrower.return_loans(ACCOUNT)
 
     @rule(number=VMS)
     def expire(self, number):
@@ -248,20 +248,20 @@
     @rule(number=VMS, other=VMS, parts=st.sampled_from((1_000, 100_000, 1_000_000)))
     def give_parts(self, number, other, parts):
         vm = self.vms[number]
-        if number == other or not self.awake(number) or vm.shares.uncertain:
+        if number == other or not self.awake(number) or vm.shares.write_in_doubt:
             return
         burst = TERMS[vm.terms][1]
         vm.lender.expire({ACCOUNT: vm.bucket}, self.now)
-        keep = int(vm.bucket.lent / burst * PARTS) + 1 if vm.bucket.lent > 0 else 0
-        parts = min(parts, vm.shares.acting(ACCOUNT) - keep)
+        keep = int(vm.bucket.lent_capacity / burst * PARTS_PER_ACCOUNT) + 1 if vm.bucket.lent_capacity > 0 else 0
+        parts = min(parts, vm.shares.usable_parts(ACCOUNT) - keep)
         level = vm.bucket.level(self.now)
-        planned = give(vm.shares.ledger, vm.holder, self.vms[other].holder, ACCOUNT, parts, level)
+        planned = transfer_parts(vm.shares.ledger, vm.holder, self.vms[other].holder, ACCOUNT, parts, level)
         if planned == vm.shares.ledger:
             return
         for tokens in vm.shares.shrink_to(planned).values():
             vm.bucket.charge(tokens, self.now)
         vm.resize(self.now)
-        vm.shares.write_lost()
+        vm.shares.mark_write_in_doubt()
         self.messages.append(("write", vm.holder, None, vm.shares.revision, planned))
 
     @rule(number=VMS, other=VMS, parts=st.sampled_from((100_000, 1_000_000)))
@@ -297,7 +297,7 @@
     def fence(self, number):
         """Write the same ledger again, so that a lost write can no longer land."""
         vm = self.vms[number]
-        if self.awake(number) and vm.shares.uncertain and vm.shares.revision == self.revision:
+        if self.awake(number) and vm.shares.write_in_doubt and vm.shares.revision == self.revision:
             self.revision += 1
             self.read(vm)
 
--- a/tests/steps/policy/share_parts_steps.py
+++ b/tests/steps/policy/share_parts_steps.py
@@ -4,17 +4,17 @@
 
 from hickorybeam.model import VmId
 from hickorybeam.policy.loans import Borrower, ClosedLoan, Lender, Loan
-from hickorybeam.policy.rebalance import Demand, plan_gifts
+from hickorybeam.policy.rebalance import AccountDemand, plan_transfers
 from hickorybeam.policy.shares import (
-    PARTS,
+    PARTS_PER_ACCOUNT,
     GroupLedger,
     GroupShares,
     Holder,
     HolderParts,
-    give,
+    transfer_parts,
     take_over,
 )
-from hickorybeam.policy.standing import TakeOverWatch
+from hickorybeam.policy.spending_lease import TakeOverMonitor
 from hickorybeam.policy.token_bucket import TokenBucket
 
 LENDER = VmId("lender", "1")
@@ -105,24 +105,24 @@
 def step_group_at(context, name, parts, revision):
     step_group(context, name, "a", parts)
     context.shares = GroupShares(holder(name))
-    context.shares.seen(revision, context.ledger)
+    context.shares.apply_read(revision, context.ledger)
 
 
 @when('"{name}" writes {parts:d} parts to "{other}" and gets no answer')
 def step_lost_write(context, name, parts, other):
-    planned = give(context.ledger, holder(name), holder(other), "acme", parts)
+    planned = transfer_parts(context.ledger, holder(name), holder(other), "acme", parts)
     context.shares.shrink_to(planned)
-    context.shares.write_lost()
+    context.shares.mark_write_in_doubt()
 
 
 @when("the share group is read unchanged at revision {revision:d}")
 def step_read(context, revision):
-    context.shares.seen(revision, context.ledger)
+    context.shares.apply_read(revision, context.ledger)
 
 
 @then('"{name}" acts on {parts:d} parts')
 def step_acts(context, name, parts):
-    assert context.shares.acting("acme") == parts, context.shares.acting("acme")
+    assert context.shares.usable_parts("acme") == parts, context.shares.usable_parts("acme")
 
 
 @when('"{name}" of data centre "{data_centre}" takes over from "{dead}"')
@@ -138,14 +138,14 @@
 @when('"{name}" plans for a borrower that takes the whole rate, with {keep:d} parts under loans')
 def step_plan(context, name, keep):
     borrower = holder("borrower", "b")
-    demand = Demand(rate=100.0, lent={borrower: 100.0}, keep=keep)
+    demand = AccountDemand(account_rate=100.0, lent_rates={borrower: 100.0}, reserved_parts=keep)
     planned = (holder(name), borrower)
     ledger = context.ledger
     for _ in range(20):
-        ledger = plan_gifts(ledger, holder(name), planned, {"acme": demand}, floor=0.05)
+        ledger = plan_transfers(ledger, holder(name), planned, {"acme": demand}, floor=0.05)
     context.plan = ledger
     assert ledger.parts(borrower.vm, "acme") > 0
-    assert ledger.parts(holder(name).vm, "acme") + ledger.parts(borrower.vm, "acme") == PARTS
+    assert ledger.parts(holder(name).vm, "acme") + ledger.parts(borrower.vm, "acme") == PARTS_PER_ACCOUNT
 
 
 @then('the plan leaves "{name}" at least {parts:d} parts')
@@ -156,7 +156,7 @@
 
 @given("a share take-over watch that waits {ms:d} ms")
 def step_watch(context, ms):
-    context.watch = TakeOverWatch(settle_ms=ms)
+    context.watch = TakeOverMonitor(settle_ms=ms)
 
 
 @given("the share take-over watch promised at 0 not to take over for {ms:d} ms")
@@ -172,7 +172,7 @@
 def step_looks(context, every, until, heard):
     for now in range(0, until + 1, every):
         is_heard = bool(heard) and now <= heard
-        context.verdict = context.watch.seen("holder", now, lapsed=True, heard=is_heard)
+        context.verdict = context.watch.observe("holder", now, lease_lapsed=True, alive=is_heard)
 
 
 @then("the share take-over watch says {verdict}")
--- a/tests/steps/policy/spread_fleet.py
+++ b/tests/steps/policy/spread_fleet.py
@@ -7,12 +7,12 @@
 
 from hickorybeam.model.routing import AccountTerms
 from hickorybeam.policy.fleet_quota import FleetQuota
-from hickorybeam.policy.pacing import (
-    near_every_ms,
-    out_of_step_ms,
-    outside_every_ms,
-    quiet_after_ms,
-    spends_alone_after_ms,
+from hickorybeam.policy.report_intervals import (
+    local_report_interval_ms,
+    jittered_interval_ms,
+    remote_report_interval_ms,
+    isolation_timeout_ms,
+    quota_peer_timeout_ms,
 )
 
 __all__ = ("BURST", "RATE", "WINDOW_MS", "SpreadFleet")
@@ -37,11 +37,11 @@
         self.rng = random.Random(1)
         self.now = 1_000
         self.size, self.centres = size, centres
-        self.near_ms = near_every_ms(size // centres - 1)
-        self.outside_ms = outside_every_ms(size)
-        self.alone_ms = spends_alone_after_ms(near=size // centres - 1, vms=size)
-        self.quiet_ms = quiet_after_ms(size // centres - 1)
-        self.vms = [FleetQuota(allowance=allowance, silent_ms=self.alone_ms) for _ in range(size)]
+        self.near_ms = local_report_interval_ms(size // centres - 1)
+        self.outside_ms = remote_report_interval_ms(size)
+        self.alone_ms = quota_peer_timeout_ms(local_peers=size // centres - 1, vms=size)
+        self.quiet_ms = isolation_timeout_ms(size // centres - 1)
+        self.vms = [FleetQuota(allowance=allowance, peer_timeout_ms=self.alone_ms) for _ in range(size)]
         for vm in self.vms:
             vm.configure([AccountTerms(name=NAME, rate_per_s=RATE, burst=BURST)], self.now)
         # All started together.
@@ -75,17 +75,17 @@
         for index in range(self.size):
             if self.now >= self.next_near[index]:
                 self.next_near[index] = self.now + self.near_ms + self.rng.uniform(0, LATE_MS)
-                self.tell(index, index % self.centres, self.vms[index].totals())
+                self.tell(index, index % self.centres, self.vms[index].spent_totals())
                 self.notice(index)
             if self.now >= self.next_outside[index]:
-                self.next_outside[index] = self.now + out_of_step_ms(self.outside_ms, self.rng)
+                self.next_outside[index] = self.now + jittered_interval_ms(self.outside_ms, self.rng)
                 self.tell_outside(index)
         while self.on_their_way and self.on_their_way[0][0] <= self.now:
             _, index, centre, totals = heapq.heappop(self.on_their_way)
             self.tell(index, centre, totals)
 
     def tell_outside(self, index):
-        totals = self.vms[index].totals()
+        totals = self.vms[index].spent_totals()
         for centre in range(self.centres):
             if centre != index % self.centres:
                 due = self.now + self.rng.uniform(0, self.near_ms)
@@ -94,7 +94,7 @@
     def tell(self, index, centre, totals):
         for other in range(centre, self.size, self.centres):
             if other != index and not {other, index} & self.cut:
-                self.vms[other].heard(str(index), totals, self.now, younger=False)
+                self.vms[other].apply_totals(str(index), totals, self.now, started_later=False)
 
     def notice(self, index):
         """Take note of how many VMs are heard, as late as a fleet of that size may notice it."""
@@ -103,7 +103,7 @@
             heard = 1
         elif index not in self.cut and self.now - self.cut_ms > self.alone_ms:
             heard = self.size - len(self.cut)
-        self.vms[index].reach(heard, self.size, self.now)
+        self.vms[index].set_live_vms(heard, self.size, self.now)
 
     def most_in_a_window(self):
         most = begin = 0
--- a/tests/steps/policy/watchers_steps.py
+++ b/tests/steps/policy/watchers_steps.py
@@ -2,7 +2,7 @@
 
 from behave import given, then, when
 
-from hickorybeam.policy.watchers import watchers_of, watches_itself
+from hickorybeam.policy.watchers import count_watchers, should_watch
 
 ROUNDS = 6
 
@@ -26,7 +26,7 @@
                     for other in self.names
                     if other != name and other not in self.unheard
                 }
-                if watches_itself(name, heard):
+                if should_watch(name, heard):
                     self.watching.add(name)
                 else:
                     self.watching.discard(name)
@@ -70,10 +70,10 @@
 
 @then("it watches")
 def step_watches(context):
-    assert watches_itself(context.alone, {})
+    assert should_watch(context.alone, {})
 
 
 @then('data centres of "{sizes}" VMs have {count:d} watchers')
 def step_total(context, sizes, count):
     found = {str(number): int(size) for number, size in enumerate(sizes.split(","))}
-    assert watchers_of(found) == count
+    assert count_watchers(found) == count
--- a/tests/steps/shares/budget_steps.py
+++ b/tests/steps/shares/budget_steps.py
@@ -5,7 +5,7 @@
 from tests.steps.shares import fakes
 
 from hickorybeam.errors import GatewayError
-from hickorybeam.policy.shares import PARTS, GroupLedger
+from hickorybeam.policy.shares import PARTS_PER_ACCOUNT, GroupLedger
 from hickorybeam.shares.messages import LOANS, LoanRequest, Want
 from hickorybeam.store.port import Put
 
@@ -251,7 +251,7 @@
 
 def acting(context, data_centre):
     return sum(
-        node.budget.status()["accounts"][NAME]["fraction"] * PARTS
+        node.budget.status()["accounts"][NAME]["fraction"] * PARTS_PER_ACCOUNT
         for name, node in context.fleet.nodes.items()
         if name.startswith(data_centre) and node.running
     )
--- a/tests/steps/shares/fakes.py
+++ b/tests/steps/shares/fakes.py
@@ -21,7 +21,7 @@
     VmState,
     ref_of,
 )
-from hickorybeam.policy.shares import PARTS
+from hickorybeam.policy.shares import PARTS_PER_ACCOUNT
 from hickorybeam.settings import PlatformSettings, Settings, ShareSettings, VmSettings
 from hickorybeam.shares import BudgetService
 from hickorybeam.store.port import KeyValue, Put, ReadResult, TxnResult
@@ -458,11 +458,11 @@
                 if not node.running or node.paused:
                     continue
                 if node.budget._may_spend():
-                    acting += node.budget._keeper.acting(terms.name)
+                    acting += node.budget._keeper.usable_parts(terms.name)
                 bucket = node.budget._books.buckets.get(terms.name)
-                if bucket and bucket.lent > bucket.capacity + 1e-6 and not self.lowered:
-                    self.faults.append((self.clock.now(), node.vm.id.name, "lent", bucket.lent))
-            if acting > PARTS:
+                if bucket and bucket.lent_capacity > bucket.capacity + 1e-6 and not self.lowered:
+                    self.faults.append((self.clock.now(), node.vm.id.name, "lent", bucket.lent_capacity))
+            if acting > PARTS_PER_ACCOUNT:
                 self.faults.append((self.clock.now(), "fleet", "acting", acting))
 
 
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -57,14 +57,14 @@
     Mutation(
         "lent tokens leave the lender",
         "policy/token_bucket.py",
-        "        self._level -= lent\n        self.lent += lent",
-        "        self.lent += lent",
+        "        self._level -= lent\n        self.lent_capacity += lent",
+        "        self.lent_capacity += lent",
         "policy/shares.feature",
     ),
     Mutation(
         "lent capacity leaves the lender",
         "policy/token_bucket.py",
-        "        self._level -= lent\n        self.lent += lent",
+        "        self._level -= lent\n        self.lent_capacity += lent",
         "        self._level -= lent",
         "policy/shares.feature",
     ),
@@ -130,7 +130,7 @@
     Mutation(
         "no growth while a write may still land",
         "policy/shares.py",
-        "                held = min(held, self.acting(account))",
+        "                held = min(held, self.usable_parts(account))",
         "                pass",
         "policy/share_parts.feature",
     ),
@@ -157,7 +157,7 @@
     ),
     Mutation(
         "paused past its lease: ask before spending",
-        "policy/standing.py",
+        "policy/spending_lease.py",
         "return now_ms < max(self._lease_until, self._promise_until)",
         "return True",
         "shares",
@@ -166,14 +166,14 @@
         "a neighbour that took over is heeded",
         "shares/service.py",
         "            self._keeper.taken()\n",
-        "            self._keeper.standing.promised(sent, promise_ms)\n",
+        "            self._keeper.lease_state.neighbours_promised(sent, promise_ms)\n",
         "shares",
     ),
     Mutation(
         "no answer from any neighbour: stop",
         "shares/service.py",
-        "        elif replies:\n            self._keeper.standing.promised",
-        "        else:\n            self._keeper.standing.promised",
+        "        elif replies:\n            self._keeper.lease_state.neighbours_promised",
+        "        else:\n            self._keeper.lease_state.neighbours_promised",
         "shares",
     ),
     Mutation(
@@ -186,8 +186,8 @@
     Mutation(
         "fractions under open loans are not given away",
         "shares/service.py",
-        "keep=self._books.lent_parts(account.name),",
-        "keep=0,",
+        "reserved_parts=self._books.lent_parts(account.name),",
+        "reserved_parts=0,",
         "shares",
     ),
     Mutation(
@@ -200,8 +200,8 @@
     Mutation(
         "a lost write is known to be uncertain",
         "shares/ledger.py",
-        "            self.groups[number].write_lost()",
-        "            self.groups[number].write_refused()",
+        "            self.groups[number].mark_write_in_doubt()",
+        "            self.groups[number].undo_shrink()",
         "shares",
     ),
     Mutation(
@@ -213,21 +213,21 @@
     ),
     Mutation(
         "a holder still heard is not taken over from",
-        "policy/standing.py",
-        "if not lapsed or heard or now_ms < self._promised.get(vm, -1):",
-        "if not lapsed or now_ms < self._promised.get(vm, -1):",
+        "policy/spending_lease.py",
+        "if not lease_lapsed or alive or now_ms < self._promised.get(vm, -1):",
+        "if not lease_lapsed or now_ms < self._promised.get(vm, -1):",
         "policy/share_parts.feature",
     ),
     Mutation(
         "a promise holds",
-        "policy/standing.py",
-        "if not lapsed or heard or now_ms < self._promised.get(vm, -1):",
-        "if not lapsed or heard:",
+        "policy/spending_lease.py",
+        "if not lease_lapsed or alive or now_ms < self._promised.get(vm, -1):",
+        "if not lease_lapsed or alive:",
         "policy/share_parts.feature",
     ),
     Mutation(
         "take-over waits for the dead VM's loans",
-        "policy/standing.py",
+        "policy/spending_lease.py",
         ">= self._settle_ms",
         ">= 0",
         "policy/share_parts.feature",
@@ -242,7 +242,7 @@
     Mutation(
         "parts under loans are not planned away",
         "policy/rebalance.py",
-        "    spare = mine - max(demand.keep, floor_parts // places, min(used_here, mine))",
+        "    spare = mine - max(demand.reserved_parts, floor_parts // places, min(used_here, mine))",
         "    spare = mine - max(floor_parts // places, min(used_here, mine))",
         "policy/share_parts.feature",
     ),
