--- a/src/hickorybeam/policy/loans.py
+++ b/src/hickorybeam/policy/loans.py
@@ -1,15 +1,15 @@
 """Loans of tokens between VMs, which move tokens and never create them.
 
-Load pattern answered: all of an account's traffic comes in at one VM, or moves to another
-region within seconds, while fractions of rate and burst follow demand only slowly. Without
-loans that VM refuses requests although the account is inside its rate.
-
-What keeps the sum: a loan carries its capacity with it. The lender's bucket stays smaller by
-the loan until the borrower says that the loan is closed, or until the loan has run out and a
-margin has passed. The borrower counts the loan's time from the moment at which it *sent* its
-request, the lender from the later moment at which it granted it; both are durations on their
-own clocks, so no two clocks are compared. A lost grant or report costs tokens for a while, a
-duplicate names a loan that is already closed.
+All of an account's traffic may arrive at one VM, or move to another region within seconds,
+while shares of rate and burst follow demand only slowly. Without loans that VM refuses requests
+although the account is within its rate.
+
+A loan carries its capacity with it, which keeps the sum constant. The lender's bucket stays
+smaller by the loan until the borrower reports the loan closed, or until the loan has expired and
+a margin has passed. The borrower counts the loan's duration from the moment at which it *sent*
+its request, the lender from the later moment at which it granted it; each uses its own clock, so
+no two clocks are compared. A lost grant or report costs tokens for a while; a duplicate names a
+loan that is already closed.
 """
 
 from __future__ import annotations
@@ -25,15 +25,15 @@
 
 __all__ = ("Borrower", "ClosedLoan", "Lender", "Loan")
 
-SMALLEST_LOAN: Final = 1e-6
+MIN_LOAN_TOKENS: Final = 1e-6
 
 
 @dataclass(frozen=True, slots=True)
 class Loan:
-    """What a lender grants; ``number`` is unique for the lender's incarnation.
+    """Tokens that a lender grants; ``number`` is unique for the lender's incarnation.
 
-    ``burst`` is the account's burst that the lender acted on, ``duration_ms`` how long the
-    borrower may spend, counted from its own request.
+    ``burst`` is the account's burst as configured at the lender, ``duration_ms`` how long the
+    borrower may spend the loan, counted from its request.
     """
 
     number: int
@@ -45,14 +45,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ClosedLoan:
-    """The borrower's report that it will spend no more of a loan, and what was left of it."""
+    """The borrower's report that a loan is closed and how many of its tokens were left."""
 
     number: int
     returned: float
 
 
-class _Granted:
-    """One open loan in the lender's book."""
+class _GrantedLoan:
+    """One open loan as recorded by the lender."""
 
     __slots__ = ("account", "tokens", "until_ms")
 
@@ -66,35 +66,35 @@
     """The loans that one VM has granted.
 
     :param duration_ms: how long a borrower may spend a loan.
-    :param margin_ms: how much longer the lender waits; covers clocks that run at slightly
-        different speeds, one part in a thousand over a loan's time being a few ms.
+    :param margin_ms: how much longer the lender waits; covers clock drift, which at one part in
+        a thousand is a few ms over a loan's duration.
     """
 
     def __init__(self, *, duration_ms: int, margin_ms: int) -> None:
         self._duration_ms = duration_ms
         self._margin_ms = margin_ms
-        self._open: dict[int, _Granted] = {}
-        self._next = 1
+        self._open: dict[int, _GrantedLoan] = {}
+        self._next_number = 1
 
     def grant(
         self, account: str, bucket: TokenBucket, want: float, now_ms: int, *, burst: float
     ) -> Loan | None:
-        """Lend up to the tokens wanted, or nothing."""
+        """Grant a loan of up to the tokens wanted, or return ``None``."""
         tokens = bucket.lend(want, now_ms)
-        if tokens <= SMALLEST_LOAN:
+        if tokens <= MIN_LOAN_TOKENS:
             bucket.restore(tokens, tokens, now_ms)
             return None
-        number = self._next
-        self._next += 1
-        until = now_ms + self._duration_ms + self._margin_ms
-        self._open[number] = _Granted(account, tokens, until)
+        number = self._next_number
+        self._next_number += 1
+        until_ms = now_ms + self._duration_ms + self._margin_ms
+        self._open[number] = _GrantedLoan(account, tokens, until_ms)
         return Loan(number, account, tokens, burst, self._duration_ms)
 
     def close(self, report: ClosedLoan, buckets: Mapping[str, TokenBucket], now_ms: int) -> None:
-        """Take back a loan that its borrower closed; a loan not open is passed over.
+        """Take back a loan that its borrower closed; ignore a loan that is not open.
 
-        A report that comes twice, or after the loan ran out, would otherwise bring the same
-        capacity back twice and let the account spend it twice.
+        A report that arrives twice, or after the loan expired, would otherwise restore the same
+        capacity twice and let the account spend it twice.
         """
         granted = self._open.get(report.number)
         if granted is None:
@@ -107,21 +107,21 @@
             bucket.restore(granted.tokens, report.returned, now_ms)
 
     def expire(self, buckets: Mapping[str, TokenBucket], now_ms: int) -> None:
-        """Take back the capacity of loans that ran out, empty."""
-        due = [number for number, granted in self._open.items() if now_ms >= granted.until_ms]
-        for number in due:
+        """Take back the capacity of expired loans, without any tokens."""
+        expired = [number for number, granted in self._open.items() if now_ms >= granted.until_ms]
+        for number in expired:
             granted = self._open.pop(number)
             bucket = buckets.get(granted.account)
             if bucket is not None:
                 bucket.restore(granted.tokens, 0.0, now_ms)
 
     def open_count(self) -> int:
-        """Return how many loans are open."""
+        """Return the number of open loans."""
         return len(self._open)
 
 
-class _Held:
-    """One loan in the borrower's hands."""
+class _HeldLoan:
+    """One loan held by the borrower, with the tokens left of it."""
 
     __slots__ = ("burst", "lender", "number", "tokens", "until_ms")
 
@@ -139,36 +139,36 @@
     """The loans that one VM holds."""
 
     def __init__(self) -> None:
-        self._held: dict[str, list[_Held]] = {}
-        self._seen: dict[tuple[VmId, int], int] = {}
+        self._held: dict[str, list[_HeldLoan]] = {}
+        self._received_until_ms: dict[tuple[VmId, int], int] = {}
         self._closed: dict[VmId, list[ClosedLoan]] = {}
 
     def receive(self, lender: VmId, loan: Loan, *, sent_ms: int, now_ms: int, burst: float) -> None:
-        """Take a loan into use.
+        """Make a loan available for spending.
 
-        :param sent_ms: when this VM sent the request that the loan answers.
-        :param burst: the account's burst that this VM acts on.
+        :param sent_ms: when this VM sent the request for the loan.
+        :param burst: the account's burst as configured at this VM.
         """
-        until = sent_ms + loan.duration_ms
-        # A grant delivered twice would be spent twice; the number is remembered for as long
-        # as the loan could still be accepted.
-        if (lender, loan.number) in self._seen or now_ms >= until:
+        until_ms = sent_ms + loan.duration_ms
+        # A grant delivered twice would be spent twice; its number is kept for as long as the loan
+        # could still be accepted.
+        if (lender, loan.number) in self._received_until_ms or now_ms >= until_ms:
             return
-        self._seen[lender, loan.number] = until
-        held = _Held(lender, loan.number, loan.tokens, loan.burst, until)
-        _scale(held, burst)
+        self._received_until_ms[lender, loan.number] = until_ms
+        held = _HeldLoan(lender, loan.number, loan.tokens, loan.burst, until_ms)
+        _shrink(held, burst)
         self._held.setdefault(loan.account, []).append(held)
 
     def available(self, account: str, now_ms: int) -> float:
-        """Return the borrowed tokens of an account that may still be spent."""
+        """Return an account's borrowed tokens that may still be spent."""
         self._drop_expired(account, now_ms)
         return sum(held.tokens for held in self._held.get(account, ()))
 
     def spend(self, account: str, tokens: float, now_ms: int) -> float:
-        """Spend borrowed tokens, those that run out soonest first.
+        """Spend borrowed tokens, those that expire soonest first.
 
-        A VM that was paused past a loan's end comes through here first, so that it drops the
-        loan before it spends: by then the lender may have its capacity back.
+        Expired loans are dropped first: a VM may have been paused past a loan's end, by which
+        time the lender may have its capacity back.
 
         :return: the tokens spent, at most those wanted.
         """
@@ -178,46 +178,48 @@
             part = min(left, held.tokens)
             held.tokens -= part
             left -= part
-            if held.tokens <= SMALLEST_LOAN:
+            if held.tokens <= MIN_LOAN_TOKENS:
                 self._close(account, held, returned=0.0)
             if left <= 0:
                 break
         return tokens - left
 
     def rescale(self, account: str, burst: float) -> None:
-        """Apply a lowered burst to the loans held, as their lenders do to their buckets."""
+        """Shrink the loans held to a lowered burst, as their lenders do with their buckets."""
         for held in self._held.get(account, ()):
-            _scale(held, burst)
+            _shrink(held, burst)
 
     def return_loans(self, account: str) -> None:
-        """Stop spending an account's loans and report what is left of them."""
+        """Close an account's loans and report the tokens left of them."""
         for held in tuple(self._held.get(account, ())):
             self._close(account, held, returned=held.tokens)
 
     def accounts(self) -> tuple[str, ...]:
-        """Return the accounts with loans held."""
+        """Return the accounts for which loans are held."""
         return tuple(self._held)
 
     def take_reports(self, lender: VmId) -> tuple[ClosedLoan, ...]:
-        """Take the reports due to one lender; it is safe to lose them and to repeat them."""
+        """Return and remove the reports due to a lender; losing or repeating one is safe."""
         return tuple(self._closed.pop(lender, ()))
 
     def lenders_due_reports(self) -> tuple[VmId, ...]:
-        """Return the lenders to whom reports are due."""
+        """Return the lenders to which reports are due."""
         return tuple(self._closed)
 
     def expire(self, now_ms: int) -> None:
-        """Drop what ran out and forget numbers that no grant can bring back."""
+        """Close expired loans and forget the numbers of those too late to be accepted."""
         for account in tuple(self._held):
             self._drop_expired(account, now_ms)
-        self._seen = {key: until for key, until in self._seen.items() if until > now_ms}
+        self._received_until_ms = {
+            key: until_ms for key, until_ms in self._received_until_ms.items() if until_ms > now_ms
+        }
 
     def _drop_expired(self, account: str, now_ms: int) -> None:
         for held in tuple(self._held.get(account, ())):
             if now_ms >= held.until_ms:
                 self._close(account, held, returned=held.tokens)
 
-    def _close(self, account: str, held: _Held, *, returned: float) -> None:
+    def _close(self, account: str, held: _HeldLoan, *, returned: float) -> None:
         loans = self._held[account]
         loans.remove(held)
         if not loans:
@@ -225,8 +227,8 @@
         self._closed.setdefault(held.lender, []).append(ClosedLoan(held.number, returned))
 
 
-def _scale(held: _Held, burst: float) -> None:
-    """Shrink a loan to a lowered burst, since its tokens were granted under the older one."""
+def _shrink(held: _HeldLoan, burst: float) -> None:
+    """Shrink a loan to a lowered burst, since its tokens were granted under the higher one."""
     if held.burst > 0 and burst < held.burst:
         held.tokens *= burst / held.burst
         held.burst = burst
--- a/src/hickorybeam/policy/shares.py
+++ b/src/hickorybeam/policy/shares.py
@@ -1,17 +1,17 @@
-"""Fractions of each account's rate and burst, held by VMs and written in a ledger.
+"""Shares of each account's rate and burst, held by VMs and recorded in a ledger.
 
-Load pattern answered: every account may come in at any VM, and demand wanders between regions
-over the day. A fixed split refuses requests inside the rate wherever demand isn't; a common
-counter would need a remote call for each request and would stop in a partition. So VMs hold
-fractions, which move slowly to where the demand is, and loans cover the time until then.
+Requests of an account may arrive at any VM, and demand moves between regions over the day. A
+fixed split refuses requests within the rate wherever demand exceeds its part; a shared counter
+needs a remote call for each request and stops working in a network partition. So each VM holds
+a share, which moves slowly towards demand, and loans cover the time until then.
 
-The sum of the fractions that VMs *act on* never passes one. Three rules keep it:
+The sum of the shares that VMs *use* never exceeds one. Three rules ensure this:
 
-* shrink first, write then: whoever gives a fraction away has stopped using it before the
-  write that lets another use it can take effect;
-* grow only after reading back: an entry counts once a read shows it;
-* a write whose answer was lost may still land later. Until a read shows the ledger past the
-  revision on which that write was conditioned, its writer does not grow.
+* shrink before the write: a VM that transfers parts stops using them before the write that
+  lets another VM use them can take effect;
+* grow only after a read: an entry is used once a read shows it;
+* a write that got no response may still take effect later. Until a read shows a revision past
+  the one on which that write was conditioned, its writer does not grow.
 """
 
 from __future__ import annotations
@@ -44,22 +44,21 @@
 
 N = TypeVar("N", int, float)
 
-# A whole is a million parts: integers add up exactly, and the smallest step of a floor of 5%
-# split over 27 holders is still some hundreds of parts.
+# Integers add up exactly, and the smallest step of a floor of 5% split over 27 holders is still
+# some hundreds of parts.
 PARTS_PER_ACCOUNT: Final = 1_000_000
 
-# Three VMs of each data centre hold fractions of a group. One alone would take the data
-# centre's whole fraction with it when it dies while the platform is out; more would make the
-# ledger grow with the fleet.
+# A single holder that dies while the platform is unavailable would take the data centre's whole
+# share with it; more holders would make the ledger grow with the fleet.
 HOLDERS_PER_DATA_CENTRE: Final = 3
 
-# Groups are asked for every account at every round; several times the accounts of the target.
-MOST_GROUPED: Final = 4_096
+# Every round looks up the group of every account; several times the target's number of accounts.
+MAX_CACHED_GROUPS: Final = 4_096
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class Holder:
-    """A VM that may hold fractions, and the data centre to which they belong."""
+    """A VM that may hold shares, and the data centre to which they belong."""
 
     vm: VmId
     data_centre: str
@@ -67,12 +66,12 @@
 
 @dataclass(frozen=True, slots=True)
 class HolderParts:
-    """What one holder has of each account, in parts of a million.
+    """One holder's share of each account, in millionths (parts).
 
-    ``first`` is what it was given when the account was entered: nobody can have spent of it
-    before, so its bucket may start full. Parts that moved later start empty but for
-    ``carried``: the tokens that their givers sent along, summed since the entry began, so
-    that reading it twice credits nothing twice.
+    ``first`` holds the parts assigned when the account was created: no VM can have spent from
+    them before, so their bucket may start full. Parts transferred later start empty except for
+    ``carried``: the tokens that came with them, summed since the entry was created, so that
+    reading an entry twice credits no token twice.
     """
 
     holder: Holder
@@ -83,42 +82,42 @@
 
 @dataclass(frozen=True, slots=True)
 class GroupLedger:
-    """One group of accounts as the platform keeps it."""
+    """One group of accounts as stored at the platform."""
 
     accounts: tuple[str, ...] = ()
     entries: tuple[HolderParts, ...] = field(default=())
 
     def parts(self, vm: VmId, account: str) -> int:
-        """Return what a VM holds of an account."""
+        """Return a VM's parts of an account."""
         return self.parts_of(vm).get(account, 0)
 
     def parts_of(self, vm: VmId) -> dict[str, int]:
-        """Return all that a VM holds, by account."""
+        """Return a VM's parts by account."""
         for entry in self.entries:
             if entry.holder.vm == vm:
                 return entry.parts
         return {}
 
     def initial_parts(self, vm: VmId, account: str) -> int:
-        """Return what a VM was given of an account when the account was entered."""
+        """Return the parts that a VM was assigned when the account was created."""
         for entry in self.entries:
             if entry.holder.vm == vm:
                 return entry.first.get(account, 0)
         return 0
 
     def carried(self, vm: VmId) -> dict[str, float]:
-        """Return the tokens that came to a VM with parts, by account."""
+        """Return the tokens transferred to a VM together with parts, by account."""
         for entry in self.entries:
             if entry.holder.vm == vm:
                 return entry.carried
         return {}
 
     def holders(self) -> tuple[Holder, ...]:
-        """Return everyone with an entry."""
+        """Return every holder with an entry."""
         return tuple(entry.holder for entry in self.entries)
 
     def of_data_centre(self, data_centre: str, account: str) -> int:
-        """Return what all VMs of a data centre hold of an account."""
+        """Return the parts of an account that all VMs of a data centre hold together."""
         return sum(
             entry.parts.get(account, 0)
             for entry in self.entries
@@ -126,154 +125,162 @@
         )
 
 
-@lru_cache(maxsize=MOST_GROUPED)
+@lru_cache(maxsize=MAX_CACHED_GROUPS)
 def group_of(account: str, groups: int) -> int:
-    """Return the ledger group of an account; the same on every VM."""
+    """Return the number of an account's ledger group, the same on every VM."""
     digest = hashlib.sha256(account.encode()).digest()
     return int.from_bytes(digest[:4], "big") % groups
 
 
 def planned_holders(group: int, holders: Iterable[Holder]) -> tuple[Holder, ...]:
-    """Choose who of the live VMs should hold fractions of a group.
+    """Return which of the live VMs should hold shares of a group.
 
-    Rendezvous hashing by name: a VM that joins or leaves changes only its own places.
+    They are chosen by rendezvous hashing of names: a VM that joins or leaves changes only its
+    own assignments.
     """
     by_data_centre: dict[str, list[Holder]] = {}
     for holder in holders:
         by_data_centre.setdefault(holder.data_centre, []).append(holder)
     chosen: list[Holder] = []
     for name in sorted(by_data_centre):
-        ranked = sorted(by_data_centre[name], key=lambda holder: _rank(group, holder))
+        ranked = sorted(by_data_centre[name], key=lambda holder: _hash_rank(group, holder))
         chosen.extend(ranked[:HOLDERS_PER_DATA_CENTRE])
     return tuple(chosen)
 
 
 def free_parts(ledger: GroupLedger, account: str) -> int:
-    """Return what nobody holds of an account."""
+    """Return the parts of an account that no VM holds."""
     return PARTS_PER_ACCOUNT - sum(entry.parts.get(account, 0) for entry in ledger.entries)
 
 
 def create_accounts(
     ledger: GroupLedger, accounts: Iterable[str], holders: tuple[Holder, ...]
 ) -> GroupLedger:
-    """Enter accounts that are new, split evenly over data centres and then over their VMs.
+    """Add new accounts, split evenly over data centres and then over their VMs.
 
-    Whoever meets a new account first writes this; the compare-and-swap lets one win. An
-    account already entered is left as it is, so a creation that lost its answer and is made
-    again gives nothing out twice.
+    The VM that first sees a new account writes this; compare-and-swap lets one writer win. An
+    existing account stays as it is, so a creation that is retried because its response was lost
+    assigns nothing twice.
     """
-    fresh = tuple(name for name in accounts if name not in ledger.accounts)
-    if not fresh or not holders:
+    new = tuple(name for name in accounts if name not in ledger.accounts)
+    if not new or not holders:
         return ledger
     split = _even_split(holders)
-    for name in fresh:
+    for name in new:
         for holder, parts in split.items():
-            ledger = _put(ledger, holder, name, parts, first=parts)
-    return replace(ledger, accounts=(*ledger.accounts, *fresh))
+            ledger = _set_parts(ledger, holder, name, parts, first=parts)
+    return replace(ledger, accounts=(*ledger.accounts, *new))
 
 
-def claim_free_parts(ledger: GroupLedger, me: Holder, account: str) -> GroupLedger:
-    """Claim what nobody holds of an account."""
+def claim_free_parts(ledger: GroupLedger, own_holder: Holder, account: str) -> GroupLedger:
+    """Assign the parts of an account that no VM holds to this VM."""
     free = free_parts(ledger, account)
     if free <= 0 or account not in ledger.accounts:
         return ledger
-    return _put(ledger, me, account, ledger.parts(me.vm, account) + free)
+    return _set_parts(ledger, own_holder, account, ledger.parts(own_holder.vm, account) + free)
 
 
 def transfer_parts(
-    ledger: GroupLedger, me: Holder, to: Holder, account: str, parts: int, level: float = 0.0
+    ledger: GroupLedger,
+    own_holder: Holder,
+    to: Holder,
+    account: str,
+    parts: int,
+    level: float = 0.0,
 ) -> GroupLedger:
-    """Move parts of one account from this VM to another; at most what this VM has.
+    """Move parts of one account from this VM to another, at most those it holds.
 
-    :param level: the tokens that this VM holds; the same portion of them goes along.
+    :param level: tokens in this VM's bucket; the same proportion of them goes along.
     """
-    mine = ledger.parts(me.vm, account)
+    mine = ledger.parts(own_holder.vm, account)
     moved = max(0, min(parts, mine))
-    if moved == 0 or to.vm == me.vm:
+    if moved == 0 or to.vm == own_holder.vm:
         return ledger
-    ledger = _put(ledger, me, account, mine - moved)
+    ledger = _set_parts(ledger, own_holder, account, mine - moved)
     tokens = max(0.0, level) * moved / mine
-    return _put(ledger, to, account, ledger.parts(to.vm, account) + moved, tokens=tokens)
+    return _set_parts(ledger, to, account, ledger.parts(to.vm, account) + moved, tokens=tokens)
 
 
-def take_over(ledger: GroupLedger, me: Holder, dead: Holder) -> GroupLedger:
-    """Move everything a dead holder has to this VM, if both are of one data centre.
+def take_over(ledger: GroupLedger, own_holder: Holder, expired: Holder) -> GroupLedger:
+    """Move all parts of a holder whose lease expired to this VM of the same data centre.
 
-    A VM of another data centre may not: the holder may be cut off together with its data
-    centre, alive and spending, while this side sees only that its lease has lapsed.
+    A VM of another data centre may not take over: the holder may be partitioned off together
+    with its data centre, alive and spending, while this side sees only that its lease expired.
     """
-    if dead.data_centre != me.data_centre or dead.vm == me.vm:
+    if expired.data_centre != own_holder.data_centre or expired.vm == own_holder.vm:
         return ledger
-    return _move_all(ledger, dead, me)
+    return _move_all(ledger, expired, own_holder)
 
 
 def release_parts(
-    ledger: GroupLedger, me: Holder, to: Holder | None, levels: Mapping[str, float]
+    ledger: GroupLedger, own_holder: Holder, to: Holder | None, levels: Mapping[str, float]
 ) -> GroupLedger:
-    """Hand everything to another holder on shutdown, or leave it free with none to take it."""
+    """Transfer all parts to another holder on shutdown, or free them if there is none."""
     for account in tuple(ledger.accounts) if to else ():
-        parts = ledger.parts(me.vm, account)
-        ledger = transfer_parts(ledger, me, to or me, account, parts, levels.get(account, 0.0))
-    kept = tuple(entry for entry in ledger.entries if entry.holder.vm != me.vm)
+        parts = ledger.parts(own_holder.vm, account)
+        ledger = transfer_parts(
+            ledger, own_holder, to or own_holder, account, parts, levels.get(account, 0.0)
+        )
+    kept = tuple(entry for entry in ledger.entries if entry.holder.vm != own_holder.vm)
     return replace(ledger, entries=kept)
 
 
 class GroupShares:
-    """The fractions of one group that this VM acts on.
+    """The parts of one group that this VM may use.
 
-    :param me: this VM's incarnation and data centre.
+    :param own_holder: this VM's incarnation and data centre.
     """
 
-    __slots__ = ("_acting", "_credited", "_uncertain", "ledger", "me", "revision")
+    __slots__ = ("_credited", "_doubtful_revision", "_usable", "ledger", "own_holder", "revision")
 
-    def __init__(self, me: Holder) -> None:
-        self.me = me
+    def __init__(self, own_holder: Holder) -> None:
+        self.own_holder = own_holder
         self.ledger = GroupLedger()
         self.revision = 0
-        self._acting: dict[str, int] = {}
+        self._usable: dict[str, int] = {}
         self._credited: dict[str, float] = {}
-        self._uncertain = -1
+        self._doubtful_revision = -1
 
     def usable_parts(self, account: str) -> int:
         """Return the parts of an account that this VM may use."""
-        return self._acting.get(account, 0)
+        return self._usable.get(account, 0)
 
     @property
     def write_in_doubt(self) -> bool:
-        """Whether a write of unknown outcome may still land on the ledger last read."""
-        return self.revision <= self._uncertain
+        """Whether a write of unknown outcome may still change the ledger last read."""
+        return self.revision <= self._doubtful_revision
 
     def apply_read(self, revision: int, ledger: GroupLedger) -> None:
-        """Take in what a read showed; a read older than one before is passed over."""
+        """Apply the result of a read; ignore one older than the last read."""
         if revision < self.revision:
             return
         self.revision = revision
         self.ledger = ledger
-        for account in {*self._acting, *ledger.accounts}:
-            held = ledger.parts(self.me.vm, account)
-            # A write that was sent on this revision and not answered can still take effect
-            # and give to another VM what this VM would take back here.
+        for account in {*self._usable, *ledger.accounts}:
+            parts = ledger.parts(self.own_holder.vm, account)
+            # A write that was conditioned on this revision and got no response may still take
+            # effect and transfer to another VM what this VM would take back here.
             if self.write_in_doubt:
-                held = min(held, self.usable_parts(account))
-            self._acting[account] = held
+                parts = min(parts, self.usable_parts(account))
+            self._usable[account] = parts
 
     def collect_credits(self) -> dict[str, float]:
-        """Return the tokens that came with parts and were not returned here before."""
-        fresh: dict[str, float] = {}
-        for account, carried in self.ledger.carried(self.me.vm).items():
+        """Return the tokens received with parts since the last call, by account."""
+        new: dict[str, float] = {}
+        for account, carried in self.ledger.carried(self.own_holder.vm).items():
             if carried > self._credited.get(account, 0.0):
-                fresh[account] = carried - self._credited.get(account, 0.0)
+                new[account] = carried - self._credited.get(account, 0.0)
                 self._credited[account] = carried
-        return fresh
+        return new
 
     def shrink_to(self, planned: GroupLedger) -> dict[str, float]:
-        """Stop using what a planned write gives away; call before the write is sent.
+        """Stop using what a planned write transfers; call before the write is sent.
 
-        :return: the tokens that go along, by account.
+        :return: tokens transferred along with the parts, by account.
         """
-        for account in tuple(self._acting):
-            held = planned.parts(self.me.vm, account)
-            self._acting[account] = min(self._acting[account], held)
+        for account in tuple(self._usable):
+            parts = planned.parts(self.own_holder.vm, account)
+            self._usable[account] = min(self._usable[account], parts)
         sent: dict[str, float] = {}
         for holder in planned.holders():
             before = self.ledger.carried(holder.vm)
@@ -282,23 +289,23 @@
         return sent
 
     def undo_shrink(self) -> None:
-        """Take back what a write would have given away that surely did not take effect."""
+        """Use again what a write would have transferred; call when it surely had no effect."""
         if self.write_in_doubt:
             return
         for account in self.ledger.accounts:
-            self._acting[account] = self.ledger.parts(self.me.vm, account)
+            self._usable[account] = self.ledger.parts(self.own_holder.vm, account)
 
     def mark_write_in_doubt(self) -> None:
-        """Note that a write conditioned on the revision last read was not answered."""
-        self._uncertain = max(self._uncertain, self.revision)
+        """Record that a write conditioned on the revision last read got no response."""
+        self._doubtful_revision = max(self._doubtful_revision, self.revision)
 
     def stop_using_all(self) -> None:
-        """Act on nothing until a later read; used once another VM took over."""
-        self._acting.clear()
-        self._uncertain = max(self._uncertain, self.revision)
+        """Use no parts until a later revision is read; for when another VM has taken over."""
+        self._usable.clear()
+        self._doubtful_revision = max(self._doubtful_revision, self.revision)
 
 
-def _rank(group: int, holder: Holder) -> bytes:
+def _hash_rank(group: int, holder: Holder) -> bytes:
     return hashlib.sha256(f"{group}/{holder.vm.name}".encode()).digest()
 
 
@@ -314,7 +321,7 @@
     return split
 
 
-def _put(
+def _set_parts(
     ledger: GroupLedger,
     holder: Holder,
     account: str,
@@ -328,17 +335,17 @@
     entry = entries[index] if index < len(entries) else HolderParts(holder, {})
     changed = HolderParts(
         holder,
-        _with(entry.parts, account, parts),
-        _with(entry.first, account, first or entry.first.get(account, 0)),
-        _with(entry.carried, account, entry.carried.get(account, 0.0) + tokens),
+        _with_value(entry.parts, account, parts),
+        _with_value(entry.first, account, first or entry.first.get(account, 0)),
+        _with_value(entry.carried, account, entry.carried.get(account, 0.0) + tokens),
     )
     entries[index:] = [changed, *entries[index + 1 :]]
     return replace(ledger, entries=tuple(entries))
 
 
-def _with(values: Mapping[str, N], account: str, value: N) -> dict[str, N]:
+def _with_value(values: Mapping[str, N], account: str, value: N) -> dict[str, N]:
     changed = {**values, account: value}
-    return {name: held for name, held in changed.items() if held > 0}
+    return {name: amount for name, amount in changed.items() if amount > 0}
 
 
 def _move_all(ledger: GroupLedger, source: Holder, target: Holder) -> GroupLedger:
@@ -347,6 +354,6 @@
             continue
         for account, parts in entry.parts.items():
             held = ledger.parts(target.vm, account)
-            ledger = _put(ledger, target, account, held + parts)
+            ledger = _set_parts(ledger, target, account, held + parts)
     kept = tuple(entry for entry in ledger.entries if entry.holder.vm != source.vm)
     return replace(ledger, entries=kept)
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -42,7 +42,7 @@
     Mutation(
         "refund limited by the room since admission",
         "policy/token_bucket.py",
-        "given = min([tokens, self._room(), *(mark.room for mark in since)])",
+        "given = min([tokens, self._room(), *(record.room for record in since)])",
         "given = min(tokens, self._room())",
         "policy/share_parts.feature",
     ),
@@ -71,7 +71,7 @@
     Mutation(
         "use beyond the cost becomes a debt",
         "policy/token_bucket.py",
-        '        """Take what a request used beyond its cost, into debt if need be."""\n'
+        '        """Take what a request used beyond its cost, into debt if necessary."""\n'
         "        self._refill(now_ms)\n        self._level -= tokens",
         "        self._refill(now_ms)",
         "shares",
@@ -80,8 +80,8 @@
     Mutation(
         "borrower counts from its request",
         "policy/loans.py",
-        "until = sent_ms + loan.duration_ms",
-        "until = now_ms + loan.duration_ms",
+        "until_ms = sent_ms + loan.duration_ms",
+        "until_ms = now_ms + loan.duration_ms",
         "policy/share_parts.feature",
     ),
     Mutation(
@@ -94,8 +94,8 @@
     Mutation(
         "grant delivered twice counts once",
         "policy/loans.py",
-        "if (lender, loan.number) in self._seen or now_ms >= until:",
-        "if now_ms >= until:",
+        "if (lender, loan.number) in self._received_until_ms or now_ms >= until_ms:",
+        "if now_ms >= until_ms:",
         "policy/shares.feature",
     ),
     Mutation(
@@ -108,8 +108,8 @@
     Mutation(
         "lender waits for the loan's end",
         "policy/loans.py",
-        "until = now_ms + self._duration_ms + self._margin_ms",
-        "until = now_ms",
+        "until_ms = now_ms + self._duration_ms + self._margin_ms",
+        "until_ms = now_ms",
         "policy/share_parts.feature",
     ),
     Mutation(
@@ -123,14 +123,14 @@
     Mutation(
         "shrink before the write",
         "policy/shares.py",
-        "self._acting[account] = min(self._acting[account], held)",
+        "self._usable[account] = min(self._usable[account], parts)",
         "pass",
         "policy/share_parts.feature",
     ),
     Mutation(
         "no growth while a write may still land",
         "policy/shares.py",
-        "                held = min(held, self.usable_parts(account))",
+        "                parts = min(parts, self.usable_parts(account))",
         "                pass",
         "policy/share_parts.feature",
     ),
@@ -151,14 +151,14 @@
     Mutation(
         "take-over within the data centre only",
         "policy/shares.py",
-        "if dead.data_centre != me.data_centre or dead.vm == me.vm:",
-        "if dead.vm == me.vm:",
+        "if expired.data_centre != own_holder.data_centre or expired.vm == own_holder.vm:",
+        "if expired.vm == own_holder.vm:",
         "policy/share_parts.feature",
     ),
     Mutation(
         "paused past its lease: ask before spending",
         "policy/spending_lease.py",
-        "return now_ms < max(self._lease_until, self._promise_until)",
+        "return now_ms < max(self._lease_until_ms, self._promise_until_ms)",
         "return True",
         "shares",
     ),
@@ -214,14 +214,14 @@
     Mutation(
         "a holder still heard is not taken over from",
         "policy/spending_lease.py",
-        "if not lease_lapsed or alive or now_ms < self._promised.get(vm, -1):",
-        "if not lease_lapsed or now_ms < self._promised.get(vm, -1):",
+        "if not lease_lapsed or alive or now_ms < self._promised_until_ms.get(vm, -1):",
+        "if not lease_lapsed or now_ms < self._promised_until_ms.get(vm, -1):",
         "policy/share_parts.feature",
     ),
     Mutation(
         "a promise holds",
         "policy/spending_lease.py",
-        "if not lease_lapsed or alive or now_ms < self._promised.get(vm, -1):",
+        "if not lease_lapsed or alive or now_ms < self._promised_until_ms.get(vm, -1):",
         "if not lease_lapsed or alive:",
         "policy/share_parts.feature",
     ),
@@ -242,8 +242,8 @@
     Mutation(
         "parts under loans are not planned away",
         "policy/rebalance.py",
-        "    spare = mine - max(demand.reserved_parts, floor_parts // places, min(used_here, mine))",
-        "    spare = mine - max(floor_parts // places, min(used_here, mine))",
+        "        demand.reserved_parts, floor_parts // local_holders, min(used_parts, own_parts)",
+        "        floor_parts // local_holders, min(used_parts, own_parts)",
         "policy/share_parts.feature",
     ),
     Mutation(
