--- a/src/hickorybeam/policy/__init__.py
+++ b/src/hickorybeam/policy/__init__.py
@@ -1,3 +1,3 @@
-"""Decisions under load, pure: no I/O, no clock reads, no tasks."""
+"""Load, quota and retry decisions, pure: no I/O, no clock reads, no tasks."""
 
 from __future__ import annotations
--- a/src/hickorybeam/policy/admission.py
+++ b/src/hickorybeam/policy/admission.py
@@ -1,9 +1,9 @@
-"""Whether a job joins the queue or is refused at once.
+"""Admission control: whether a job joins the queue or is refused at once.
 
-Load pattern: overload. A job that will not run in time is refused on arrival, with the time
-at which a retry is forecast to be taken. Without this, queues hold work whose callers are
-gone by the time it runs, and goodput falls although every engine is busy. A refusal costs
-one look at sums that are kept anyway, so that ten times the load is refused cheaply.
+In overload, a job that is expected not to run in time is refused on arrival, with the time after
+which a retry is expected to be accepted. Without this, queues hold work whose callers are gone
+by the time it runs, and goodput falls although every engine is busy. A refusal only reads sums
+that are maintained anyway, so that ten times the load is refused cheaply.
 """
 
 from __future__ import annotations
@@ -17,20 +17,20 @@
 
 __all__ = ("WaitLimit", "retry_after_ms")
 
-SHORTEST_RETRY_MS = 250
-LONGEST_RETRY_MS = 30_000
-# Callers that were refused together come back spread over half of the pause more, or they
-# would meet again.
-RETRY_SPREAD = 0.5
+MIN_RETRY_AFTER_MS = 250
+MAX_RETRY_AFTER_MS = 30_000
+# Up to this proportion of the retry-after time is added at random, so that callers refused
+# together don't retry together.
+RETRY_AFTER_JITTER = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class WaitLimit:
-    """How long a job may wait: the profile's bound or its own deadline, if nearer.
+    """How long a job may wait: the profile's limit, or less if its deadline comes first.
 
-    :param max_wait_ms: the profile's bound in ms.
-    :param remaining_ms: ms to the job's deadline.
-    :param first_token_ms: ms from its start to its first token, forecast.
+    :param max_wait_ms: the profile's limit.
+    :param remaining_ms: time until the job's deadline.
+    :param first_token_ms: expected time from the job's start to its first token.
     """
 
     max_wait_ms: float
@@ -39,17 +39,17 @@
 
     @property
     def limited_by_deadline(self) -> bool:
-        """Whether the deadline is the nearer bound."""
+        """Whether the deadline, not the profile, limits the wait."""
         return self.remaining_ms - self.first_token_ms < self.max_wait_ms
 
     @property
     def ms(self) -> float:
-        """The bound itself; below 0 when even a start now would be too late."""
+        """The limit in ms; negative if even a start now would be too late."""
         return min(self.max_wait_ms, self.remaining_ms - self.first_token_ms)
 
 
-def retry_after_ms(wait: float, bound: float, rng: random.Random) -> int:
-    """Return when a refused job is forecast to be taken: once the excess has drained."""
-    excess = LONGEST_RETRY_MS if math.isinf(wait) else wait - max(0.0, bound)
-    pause = min(LONGEST_RETRY_MS, max(SHORTEST_RETRY_MS, excess))
-    return round(pause * (1.0 + RETRY_SPREAD * rng.random()))
+def retry_after_ms(wait_ms: float, max_wait_ms: float, rng: random.Random) -> int:
+    """Return the ms after which a refused job should be accepted: once the excess has drained."""
+    excess_ms = MAX_RETRY_AFTER_MS if math.isinf(wait_ms) else wait_ms - max(0.0, max_wait_ms)
+    clamped_ms = min(MAX_RETRY_AFTER_MS, max(MIN_RETRY_AFTER_MS, excess_ms))
+    return round(clamped_ms * (1.0 + RETRY_AFTER_JITTER * rng.random()))
--- a/src/hickorybeam/policy/at_most_once.py
+++ b/src/hickorybeam/policy/at_most_once.py
@@ -1,13 +1,13 @@
-"""At most once: what a VM may do with a call that carries an idempotency key.
+"""Run a call that carries an idempotency key at most once.
 
-Failure answered: a caller that got no answer sends a booking or a sign order again, often
-through another VM and while the first attempt still runs. Run twice, it books twice; refused
-as "not run" when it did run, the caller books again by hand.
+A caller that got no response sends a booking or a sign order again, often through another VM and
+while the first attempt still runs. If it runs twice, it books twice; if it is refused as "not
+run" although it ran, the caller books again by hand.
 
-A key's record moves only forwards: free, running, then finished or unknown. It goes back to
-free only when the attempt was refused before any byte could reach a backend server. Whoever
-can't show that says "unknown". Records are kept until their key expires; when there is no
-room for one more, the new call is refused, since forgetting an old key would let it run again.
+A key's record only moves forwards: free, running, then finished or unknown. It returns to free
+only if the attempt was refused before any byte could reach a backend server; without proof of
+that the outcome is unknown. Records are kept until their key expires. When there is no room for
+another, the new call is refused, since forgetting an old key would let it run again.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 
 
 class ClaimState(Enum):
-    """How far the attempt that holds a key got."""
+    """Progress of the attempt that holds a key."""
 
     RUNNING = "running"
     FINISHED = "finished"
@@ -46,10 +46,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Claim:
-    """A caller-chosen key as the platform keeps it: no content of request or answer.
+    """A caller-chosen key as stored at the platform, without content of request or response.
 
-    ``attempt`` names one attempt of ``owner``, so that a VM whose claim was written but not
-    answered knows it for its own when it reads it back.
+    ``attempt`` identifies one attempt of ``owner``, so that a VM that got no response to the
+    write of its claim recognises the claim when it reads it back. ``content`` is the request's
+    fingerprint, ``status`` the HTTP status of a finished attempt.
     """
 
     owner: VmId
@@ -61,26 +62,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Start:
-    """Run the call now; this attempt holds the key."""
+    """Decision: run the call now; this attempt holds the key."""
 
 
 @dataclass(frozen=True, slots=True)
 class Replay:
-    """Answer with what the first attempt got."""
+    """Decision: send the response of the first attempt again."""
 
     parts: tuple[AnswerPart, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """Do not run the call."""
+    """Decision: refuse the call without running it."""
 
     kind: ErrorKind
     detail: str = ""
 
 
 class Record:
-    """What one VM remembers of one key."""
+    """One VM's record of one key."""
 
     __slots__ = ("content", "expires_ms", "parts", "state", "status")
 
@@ -93,35 +94,35 @@
 
 
 class IdempotencyKeyTable:
-    """The keys that this VM's incarnation ran or runs.
+    """The keys whose calls ran or are running in this incarnation of the VM.
 
-    :param limit: how many keys are remembered at most.
-    :param answer_bytes: how many bytes of answers are kept to be given again; an answer that
-        doesn't fit is not kept, its outcome is.
+    :param limit: maximum number of keys.
+    :param answer_bytes: maximum size of all stored responses; of a response that doesn't fit,
+        only the outcome is stored.
     """
 
     def __init__(self, *, limit: int, answer_bytes: int) -> None:
         self._limit = limit
-        self._free_bytes = answer_bytes
+        self._free_answer_bytes = answer_bytes
         self._records: dict[str, Record] = {}
-        self._sizes: dict[str, int] = {}
+        self._answer_bytes: dict[str, int] = {}
 
     def __len__(self) -> int:
         return len(self._records)
 
     def get(self, key: str) -> Record | None:
-        """Return what is remembered of a key."""
+        """Return the record of a key."""
         return self._records.get(key)
 
     def begin(
         self, key: str, content: str, now_ms: int, *, expires_ms: int
     ) -> Start | Replay | Refused:
-        """Take a key for an attempt, or say why not."""
+        """Reserve a key for an attempt, or return why it can't run."""
         if now_ms >= expires_ms:
             return Refused(ErrorKind.IDEMPOTENCY_EXPIRED)
         record = self._records.get(key)
         if record is not None:
-            return self._repeat(record, content)
+            return self._decide_repeated(record, content)
         if len(self._records) >= self._limit:
             self.expire(now_ms)
         if len(self._records) >= self._limit:
@@ -132,37 +133,37 @@
     def finish(
         self, key: str, status: int, parts: tuple[AnswerPart, ...] | None, size: int
     ) -> None:
-        """Note that an attempt ran to its end; ``parts`` is ``None`` if it was too large."""
+        """Record that an attempt ended; ``parts`` is ``None`` if the response was too large."""
         record = self._records[key]
         record.state = ClaimState.FINISHED
         record.status = status
-        if parts is not None and size <= self._free_bytes:
-            self._free_bytes -= size
-            self._sizes[key] = size
+        if parts is not None and size <= self._free_answer_bytes:
+            self._free_answer_bytes -= size
+            self._answer_bytes[key] = size
             record.parts = parts
 
     def mark_unknown(self, key: str) -> None:
-        """Note that an attempt may have run, with what outcome is not known."""
+        """Record that an attempt may have run, with unknown outcome."""
         self._records[key].state = ClaimState.UNKNOWN
 
     def release(self, key: str) -> None:
-        """Free a key whose attempt surely did not run."""
+        """Free a key whose attempt surely didn't run."""
         del self._records[key]
 
     def expire(self, now_ms: int) -> None:
-        """Forget keys that expired, but for those that still run."""
-        due = [
+        """Forget expired keys, except those still running."""
+        expired = [
             key
             for key, record in self._records.items()
             if now_ms >= record.expires_ms and record.state is not ClaimState.RUNNING
         ]
-        for key in due:
+        for key in expired:
             del self._records[key]
-            self._free_bytes += self._sizes.pop(key, 0)
+            self._free_answer_bytes += self._answer_bytes.pop(key, 0)
 
-    def _repeat(self, record: Record, content: str) -> Replay | Refused:
-        # An attempt under way may not hold the key yet: another VM may have run it with just
-        # the content asked for here, so "not run, other content" could be wrong.
+    def _decide_repeated(self, record: Record, content: str) -> Replay | Refused:
+        # A running attempt may not hold the key's claim yet: another VM may have run the key with
+        # the content requested here, so refusing it as "not run, other content" could be wrong.
         if record.state is ClaimState.RUNNING:
             return Refused(ErrorKind.IDEMPOTENCY_RUNNING)
         if record.content != content:
@@ -179,13 +180,13 @@
 def decide_claim(
     claim: Claim, *, me: VmId, attempt: str, content: str, owner_alive: bool
 ) -> Start | Refused:
-    """Decide on a key that is claimed in the platform.
+    """Return whether to run a call whose key is claimed at the platform.
 
-    :param attempt: this attempt; a claim that bears it was written by it.
-    :param me: this VM, whose own table was asked first and does not know the key. So a
-        claim of this incarnation by another attempt landed after that attempt had given up,
-        and nothing was run for it.
-    :param owner_alive: whether the claim's owner is believed alive.
+    :param me: this VM, whose own table was checked first and doesn't have the key. So a claim
+        of this incarnation by another attempt was written after that attempt had given up, and
+        nothing ran for it.
+    :param attempt: this attempt; a claim with this identifier was written by it.
+    :param owner_alive: whether membership considers the claim's owner alive.
     """
     if claim.owner == me and claim.attempt == attempt:
         return Start()
@@ -205,9 +206,9 @@
 
 
 def fingerprint(call: Call) -> str:
-    """Return the digest by which the same content is known again.
+    """Return a digest that identifies a call's content.
 
-    The key is part of it: a digest of a short booking alone could be guessed by trying all.
+    It includes the key: the digest of a short booking alone could be found by trying all bookings.
     """
     digest = hashlib.sha256()
     for part in (
--- a/src/hickorybeam/policy/cold_health_checks.py
+++ b/src/hickorybeam/policy/cold_health_checks.py
@@ -1,10 +1,10 @@
-"""Which servers a VM asks for their health, and when.
+"""Which backend servers a VM health-checks, and how often.
 
-Load it answers: a VM is cut off from the store, or the store is out for all, while a server that
-it goes on sending to turns cold. Nobody tells it; sent to at the full rate, the server crashes
-under the requests of its first second. Asked often enough, it is found cold before more reach it
-than the bound on cold servers allows. While the store or a VM beside tells changes, nobody asks:
-each question is paid for and takes a place at the server.
+While a VM is cut off from the store, or the store is unavailable to all, a server that it sends
+to may restart and be cold without the VM being informed; sent to at the full rate, the server
+crashes under the requests of its first second. Frequent health checks find it cold before it has
+got more requests than the limit for cold servers allows. While the store or a local VM reports
+changes there are no health checks, since each one is paid for and occupies a slot at the server.
 """
 
 from __future__ import annotations
@@ -18,16 +18,17 @@
 
 __all__ = ("HEALTH_CHECK_INTERVAL_MS", "servers_to_check")
 
-# A server that bears 2 requests a second cold gets about 10 while it is warm: asked at this
-# interval, it gets 3 or 4 more before it is known to be cold.
+# A server that can take 2 requests a second while cold gets about 10 while warm: at this interval
+# it gets 3 or 4 more before it is known to be cold.
 HEALTH_CHECK_INTERVAL_MS = 300
 
 
 def servers_to_check(me: str, *, servers: Iterable[str], vms: Iterable[str]) -> list[str]:
-    """Return the servers that this VM asks, out of those that may turn cold.
+    """Return the servers that this VM checks, out of those that may turn cold.
 
-    Each one has two owners among the region's VMs, who tell the others.
+    Each server is checked by its two owners among the region's VMs, which inform the others.
 
+    :param me: this VM's name.
     :param vms: names of the region's VMs, this one included.
     """
     names = tuple(vms)
--- a/src/hickorybeam/policy/drain.py
+++ b/src/hickorybeam/policy/drain.py
@@ -1,9 +1,9 @@
-"""Which backend servers take new work at all.
+"""Which backend servers accept new work.
 
-Load pattern: a server is replaced under load. It says so by ticket or in its own report,
-whichever comes first; either alone is enough, since the ticket may be seconds away and the
-report may never come from a server that stops at once. Without this, work sent in its last
-seconds is cut off and its callers see broken streams. What runs there already runs out.
+A server that is replaced under load is marked as leaving by a change ticket or by its own load
+report. Either alone is enough, since the ticket may arrive seconds later and a server that stops
+at once may never report. Otherwise work sent in the server's last seconds is cut off and callers
+see broken streams. Work that already runs there continues to its end.
 """
 
 from __future__ import annotations
@@ -17,5 +17,5 @@
 
 
 def accepts_new_work(server: BackendServer, report: LoadReport | None) -> bool:
-    """Whether a server may get new work, by its ticket and its last report."""
+    """Whether a server may get new work, by its configuration and its last load report."""
     return not server.leaving and not (report is not None and report.leaving)
--- a/src/hickorybeam/policy/fleet_retry_budget.py
+++ b/src/hickorybeam/policy/fleet_retry_budget.py
@@ -1,9 +1,9 @@
-"""How many requests may be sent once more, over all VMs and without asking any.
+"""Limit retries over all VMs without communication between them.
 
-Load it answers: backend servers fail part of their requests, and each failure would be sent
-again, by every VM, just when the servers have the least room. The fleet's budget is a share of
-the requests and a fixed allowance in each window; a VM earns the share by its own requests and
-has its part of the allowance, so that the parts sum to less than the whole.
+When backend servers fail part of their requests, every VM would retry each failure just when the
+servers have the least capacity. The fleet's budget is a ratio of the requests plus a fixed
+allowance in each window. A VM earns retries by its own requests and has its share of the
+allowance, so that the VMs' budgets sum to less than the fleet's.
 """
 
 from __future__ import annotations
@@ -12,15 +12,16 @@
 
 __all__ = ("FleetRetryBudget", "FleetRetryLimits")
 
-# Of the allowance this much is given out; the rest covers VMs that are added before all know.
-SAFE_SHARE = 0.75
+# The rest covers VMs that have joined and aren't known to all others yet.
+USABLE_SHARE = 0.75
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class FleetRetryLimits:
-    """What all VMs together may repeat.
+    """Limits for all VMs together.
 
-    ``ratio`` repeats for each request, and ``allowance`` besides in each ``window_ms``.
+    ``ratio`` is the number of retries for each request, ``allowance`` the number of further
+    retries in each window of ``window_ms``.
     """
 
     ratio: float
@@ -29,42 +30,42 @@
 
 
 class FleetRetryBudget:
-    """The budget of one service on one VM: a bucket that requests fill."""
+    """The retry budget of one service on one VM: a bucket that requests and time fill."""
 
-    def __init__(self, bounds: FleetRetryLimits) -> None:
-        self._saved: float | None = None
+    def __init__(self, limits: FleetRetryLimits) -> None:
+        self._available: float | None = None
         self._at_ms = 0
-        self.reconfigure(bounds)
+        self.reconfigure(limits)
 
-    def reconfigure(self, bounds: FleetRetryLimits) -> None:
-        """Take over other bounds; what was saved up stays, up to the new most."""
-        self._ratio = bounds.ratio * SAFE_SHARE
-        self._allowance = bounds.allowance * SAFE_SHARE
-        self._window_ms = bounds.window_ms
+    def reconfigure(self, limits: FleetRetryLimits) -> None:
+        """Apply other limits; keep the available retries, up to the new maximum."""
+        self._ratio = limits.ratio * USABLE_SHARE
+        self._allowance = limits.allowance * USABLE_SHARE
+        self._window_ms = limits.window_ms
 
     def record_request(self, now_ms: int, vms: int) -> None:
-        """Count one request of a caller."""
+        """Add the retries earned by one request of a caller."""
         self._refill(now_ms, vms)
-        self._saved = min(self._most(vms), (self._saved or 0.0) + self._ratio)
+        self._available = min(self._max_available(vms), (self._available or 0.0) + self._ratio)
 
     def take(self, now_ms: int, vms: int) -> bool:
-        """Take one repeat if there is one."""
+        """Take one retry if available; return whether it was."""
         self._refill(now_ms, vms)
-        if (self._saved or 0.0) < 1.0:
+        if (self._available or 0.0) < 1.0:
             return False
-        self._saved = (self._saved or 0.0) - 1.0
+        self._available = (self._available or 0.0) - 1.0
         return True
 
-    def _most(self, vms: int) -> float:
-        # Half of the part may be saved up and half comes back in a window, so that no window
-        # sees more than the part.
+    def _max_available(self, vms: int) -> float:
+        # Half of the VM's share may accumulate and half is added in a window, so that no window
+        # has more retries than the share.
         return max(1.0, self._allowance / vms / 2)
 
     def _refill(self, now_ms: int, vms: int) -> None:
-        most = self._most(vms)
-        if self._saved is None:
-            self._saved, self._at_ms = most, now_ms
+        max_available = self._max_available(vms)
+        if self._available is None:
+            self._available, self._at_ms = max_available, now_ms
             return
-        gained = most * (now_ms - self._at_ms) / self._window_ms
-        self._saved = min(most, self._saved + gained)
+        added = max_available * (now_ms - self._at_ms) / self._window_ms
+        self._available = min(max_available, self._available + added)
         self._at_ms = now_ms
--- a/src/hickorybeam/policy/health.py
+++ b/src/hickorybeam/policy/health.py
@@ -1,18 +1,18 @@
-"""Outlier ejection: which backend servers get work, judged by what they did for callers.
-
-Load patterns and what happens without each rule:
-
-- A server that fails fast. It is always the least loaded, so least-loaded choice sends it
-  nearly everything, and most callers get its error. Here failures cut its weight at once and
-  some in a row eject it, and no short answer of a failure counts as speed.
-- A slow server. Callers behind it set the 99th percentile long before its queue shows it,
-  because its first tokens come late and the samples with them. Here a first token that is
-  overdue counts as a sample at its present age, without waiting for its arrival.
-- All servers fail together, as when the fault is the input, the network or ourselves. Ejecting
-  all turns a partial fault into a whole one, so at most half of the servers of one model or
-  service are out at a time.
-- A server returns with cold caches. Full load at once makes it the next outlier. Its weight
-  climbs from a probe to full over ``RAMP_MS``.
+"""Outlier ejection: which backend servers get work, judged by the requests sent to them.
+
+Each rule guards against one failure:
+
+- A server that fails fast is always the least loaded, so least-loaded choice would send it
+  nearly everything, and most callers would get its error. Failures cut its weight at once,
+  several in a row eject it, and a failure's short response time doesn't count as speed.
+- A slow server determines the 99th percentile long before its queue shows it, because its first
+  tokens come late and the samples with them. An overdue first token counts as a sample at its
+  current age, without waiting for its arrival.
+- All servers fail together when the cause is the input, the network or the gateway. Ejecting all
+  would turn a partial failure into a complete one, so at most half of the servers of one model
+  or service are ejected at a time.
+- A server returns with cold caches, and full load at once would make it the next outlier. Its
+  weight climbs from that of a probe to 1 over ``RAMP_MS``.
 """
 
 from __future__ import annotations
@@ -28,51 +28,51 @@
 
 __all__ = ("HealthTable", "HealthState")
 
-# Three failures in a row happen by chance once in 8000 calls at the 5% error rate of an
-# engine that restarts now and then, and take a dead one out within three calls.
-FAILURES_IN_A_ROW = 3
-# Each recent failure halves the weight; the memory of it fades over this time.
+# Three failures in a row happen by chance once in 8000 calls at the 5% error rate of an engine
+# that restarts occasionally, and eject a dead one within three calls.
+EJECT_AFTER_FAILURES = 3
+# Each recent failure halves the weight; its effect decays over this time.
 FAILURE_MEMORY_MS = 5_000
-# A first token is late when it takes this many times the median of the other servers'. A full
-# batch alone lengthens it, but for all servers of a pool alike.
+# A first token is late after this many times the median of the other servers'. A full batch also
+# lengthens it, but for all servers of a pool alike.
 SLOW_FACTOR = 4.0
-# Floor under the comparison: below it a difference is scheduling noise, not a slow server.
-SLOW_FLOOR_MS = 25.0
-# Late ones in a row, sent over at least this time. A bunch of prompts that arrive together
-# at a healthy server makes several late at once, but is read within a few hundred ms; a slow
-# server stays late.
-SLOW_IN_A_ROW = 3
-SLOW_SPAN_MS = 800
-# A single one that is this many times later still. Calls that never get a first token keep
-# their server loaded, so that few others follow and there may never be several in a row.
-SILENT_FACTOR = 8.0
-SAMPLE_SHARE = 0.3
-# First pause; doubled for each ejection in succession up to the longest. A second is longer
-# than a restart of a plain service and shorter than a caller's patience; the longest bounds
-# how long a healed server stays unused.
-FIRST_PAUSE_MS = 1_000
-# A slow server is tried again later than a failed one: each try costs a caller the wait until
-# it is recalled. A VM with ten requests a second keeps such tries under 1% of them, and so
-# out of its 99th percentile, when they are ten seconds apart.
-FIRST_SLOW_PAUSE_MS = 10_000
-# A server that may not be ejected, because half of its pool is out already, still rests
-# after a failure: 100 ms, doubled for each in a row up to ten seconds, and then gets one call
-# to show itself. Without the rest a dead region's servers fail a call every few ms and burn
-# through queue and retry budget.
-FIRST_REST_MS = 100
-LONGEST_REST_MS = 10_000
-SUSPECT_FROM = 2
-# A call is recalled from a server known to be slow at this share of the time that counts as
-# late elsewhere: there is no doubt left to wait for.
-RECALL_SHARE = 0.375
-LONGEST_PAUSE_MS = 30_000
+# Lower bound of that median: below it a difference is scheduling noise, not a slow server.
+MIN_NORMAL_MS = 25.0
+# Late first tokens in a row, of requests sent over at least this time. Prompts that arrive
+# together at a healthy server make several late at once, but their prefill takes a few hundred ms;
+# a slow server stays late.
+MIN_SLOW_IN_A_ROW = 3
+MIN_SLOW_SPAN_MS = 800
+# A single first token that is this many times later still is enough. Calls that never get one
+# keep their server loaded, so that few others follow and there may never be several in a row.
+NO_RESPONSE_FACTOR = 8.0
+SAMPLE_WEIGHT = 0.3
+# Doubled for each consecutive ejection up to MAX_EJECTION_MS, which bounds how long a recovered
+# server stays unused. A second is longer than a restart of a plain service and shorter than a
+# caller's timeout.
+INITIAL_EJECTION_MS = 1_000
+# A slow server is probed later than a failed one: each probe costs a caller the wait until it is
+# recalled. With ten seconds between them, a VM with ten requests a second keeps such probes under
+# 1% of its requests, and so out of its 99th percentile.
+INITIAL_SLOW_EJECTION_MS = 10_000
+# A server that can't be ejected, because half of its pool already is, still backs off after a
+# failure: 100 ms, doubled for each in a row up to ten seconds, and then gets one call as a probe.
+# Without the back-off a dead region's servers fail a call every few ms and use up queue and retry
+# budget.
+INITIAL_BACKOFF_MS = 100
+MAX_BACKOFF_MS = 10_000
+SUSPECT_AFTER_FAILURES = 2
+# A call is recalled from a server known to be slow after this proportion of the time that counts
+# as late for others.
+RECALL_RATIO = 0.375
+MAX_EJECTION_MS = 30_000
 RAMP_MS = 5_000
 PROBE_WEIGHT = 0.1
-LARGEST_EJECTED_SHARE = 0.5
+MAX_EJECTED_SHARE = 0.5
 
 
 class HealthState(Enum):
-    """Whether a server gets work."""
+    """Whether a server gets work: all, none, probes, or a growing share."""
 
     SERVING = auto()
     EJECTED = auto()
@@ -82,22 +82,22 @@
 
 @dataclass(slots=True)
 class Health:
-    """What was seen of one backend server."""
+    """State, failures and first-token times of one backend server."""
 
     state: HealthState = HealthState.SERVING
-    since: int = 0
-    pause: int = FIRST_PAUSE_MS
+    since_ms: int = 0
+    ejection_ms: int = INITIAL_EJECTION_MS
     failures_in_a_row: int = 0
-    resting_until: int = 0
+    backoff_until_ms: int = 0
     failures: float = 0.0
-    failures_at: int = 0
-    first_token: float = 0.0
+    last_failure_ms: int = 0
+    first_token_ms: float = 0.0
     samples: int = 0
-    late: list[int] = field(default_factory=list)
-    waiting: dict[int, tuple[int, float]] = field(default_factory=dict)
+    late_sent_ms: list[int] = field(default_factory=list)
+    awaiting_first_token: dict[int, tuple[int, float]] = field(default_factory=dict)
 
-    def recent_failures(self, now: int) -> float:
-        age = now - self.failures_at
+    def recent_failures(self, now_ms: int) -> float:
+        age = now_ms - self.last_failure_ms
         return self.failures * max(0.0, 1.0 - age / FAILURE_MEMORY_MS)
 
 
@@ -105,91 +105,96 @@
     """Health of every backend server that this VM sends to."""
 
     def __init__(self) -> None:
-        self._health: dict[str, Health] = {}
+        self._by_server: dict[str, Health] = {}
         self.ejections = 0
 
     def record(self, server: str) -> Health:
-        """Return the record of a server, a fresh one if it is new."""
-        found = self._health.get(server)
+        """Return a server's record, a new one for an unknown server."""
+        found = self._by_server.get(server)
         if found is None:
-            found = self._health[server] = Health()
+            found = self._by_server[server] = Health()
         return found
 
     def retain(self, servers: Iterable[str]) -> None:
         """Forget every server that is no longer configured."""
-        wanted = set(servers)
-        for name in [name for name in self._health if name not in wanted]:
-            del self._health[name]
+        configured = set(servers)
+        for name in [name for name in self._by_server if name not in configured]:
+            del self._by_server[name]
 
-    def record_start(self, server: str, job: int, now: int, *, scale: float) -> None:
-        """Note that a job was sent.
+    def record_start(self, server: str, job: int, now_ms: int, *, scale: float) -> None:
+        """Record that a job was sent.
 
         :param scale: how long its first token may take, relative to a short prompt.
         """
-        self.record(server).waiting[job] = (now, scale)
+        self.record(server).awaiting_first_token[job] = (now_ms, scale)
 
-    def record_first_token(self, server: str, job: int, now: int, pool: Iterable[str]) -> float | None:
-        """Note a first token; returns its time in ms for a short prompt, if it was awaited.
+    def record_first_token(
+        self, server: str, job: int, now_ms: int, pool: Iterable[str]
+    ) -> float | None:
+        """Record a first token; return its time in ms scaled to a short prompt, if awaited.
 
         :param pool: every server of the same model or service.
         """
         health = self.record(server)
-        sent = health.waiting.pop(job, None)
+        sent = health.awaiting_first_token.pop(job, None)
         if sent is None:
             return None
-        at, scale = sent
-        sample = (now - at) / scale
-        if sample > self._latest_normal(server, pool):
-            health.late.append(at)
+        sent_ms, scale = sent
+        sample = (now_ms - sent_ms) / scale
+        if sample > self._max_normal_ms(server, pool):
+            health.late_sent_ms.append(sent_ms)
         else:
-            health.late.clear()
+            health.late_sent_ms.clear()
         health.samples += 1
-        weight = 1.0 if health.samples == 1 else SAMPLE_SHARE
-        health.first_token += weight * (sample - health.first_token)
+        weight = 1.0 if health.samples == 1 else SAMPLE_WEIGHT
+        health.first_token_ms += weight * (sample - health.first_token_ms)
         return sample
 
-    def record_success(self, server: str, now: int) -> None:
-        """Note a proper end."""
+    def record_success(self, server: str, now_ms: int) -> None:
+        """Record a successful end of a job."""
         health = self.record(server)
         health.failures_in_a_row = 0
-        health.resting_until = now
-        if health.state is HealthState.PROBING and not health.late:
-            self._set(health, HealthState.RAMPING, now)
+        health.backoff_until_ms = now_ms
+        if health.state is HealthState.PROBING and not health.late_sent_ms:
+            self._set_state(health, HealthState.RAMPING, now_ms)
 
-    def record_failure(self, server: str, job: int, now: int, peers: Iterable[str]) -> None:
-        """Note a failure that is the server's; eject it after some in a row.
+    def record_failure(self, server: str, job: int, now_ms: int, peers: Iterable[str]) -> None:
+        """Record a failure caused by the server; eject it after several in a row.
 
         :param peers: every server of the same model or service, this one included.
         """
         health = self.record(server)
-        health.waiting.pop(job, None)
-        health.failures = health.recent_failures(now) + 1.0
-        health.failures_at = now
+        health.awaiting_first_token.pop(job, None)
+        health.failures = health.recent_failures(now_ms) + 1.0
+        health.last_failure_ms = now_ms
         health.failures_in_a_row += 1
-        doubled = FIRST_REST_MS * 2 ** min(10, health.failures_in_a_row - 1)
-        health.resting_until = now + min(LONGEST_REST_MS, doubled)
-        if health.state is HealthState.PROBING or health.failures_in_a_row >= FAILURES_IN_A_ROW:
-            self._eject(server, now, peers)
+        backoff_ms = INITIAL_BACKOFF_MS * 2 ** min(10, health.failures_in_a_row - 1)
+        health.backoff_until_ms = now_ms + min(MAX_BACKOFF_MS, backoff_ms)
+        if health.state is HealthState.PROBING or health.failures_in_a_row >= EJECT_AFTER_FAILURES:
+            self._eject(server, now_ms, peers)
 
     def discard_job(self, server: str, job: int) -> None:
-        """Note that a job ended for a reason that says nothing about the server."""
-        self.record(server).waiting.pop(job, None)
+        """Forget a job that ended for a reason unrelated to the server's health."""
+        self.record(server).awaiting_first_token.pop(job, None)
 
-    def update_states(self, now: int, pool: Iterable[str]) -> None:
-        """Eject servers of one pool that are slow against the others; let others return."""
+    def update_states(self, now_ms: int, pool: Iterable[str]) -> None:
+        """Eject servers of a pool that are slow compared with the others; readmit others."""
         servers = list(pool)
         for name in servers:
             health = self.record(name)
-            if health.state is HealthState.EJECTED and now - health.since >= health.pause:
-                self._set(health, HealthState.PROBING, now)
-            elif health.state is HealthState.RAMPING and now - health.since >= RAMP_MS:
-                self._set(health, HealthState.SERVING, now)
-                health.pause = FIRST_PAUSE_MS
-            if health.state is not HealthState.EJECTED and self._is_slow(name, now, servers):
-                health.pause = max(health.pause, FIRST_SLOW_PAUSE_MS)
-                self._eject(name, now, servers)
-
-    def weight(self, server: str, now: int) -> float:
+            if (
+                health.state is HealthState.EJECTED
+                and now_ms - health.since_ms >= health.ejection_ms
+            ):
+                self._set_state(health, HealthState.PROBING, now_ms)
+            elif health.state is HealthState.RAMPING and now_ms - health.since_ms >= RAMP_MS:
+                self._set_state(health, HealthState.SERVING, now_ms)
+                health.ejection_ms = INITIAL_EJECTION_MS
+            if health.state is not HealthState.EJECTED and self._is_slow(name, now_ms, servers):
+                health.ejection_ms = max(health.ejection_ms, INITIAL_SLOW_EJECTION_MS)
+                self._eject(name, now_ms, servers)
+
+    def weight(self, server: str, now_ms: int) -> float:
         """Return the share of its normal load that a server should get now, 0 for none."""
         health = self.record(server)
         match health.state:
@@ -198,77 +203,81 @@
             case HealthState.PROBING:
                 return PROBE_WEIGHT
             case HealthState.RAMPING:
-                climbed = min(1.0, (now - health.since) / RAMP_MS)
+                climbed = min(1.0, (now_ms - health.since_ms) / RAMP_MS)
                 base = PROBE_WEIGHT + (1.0 - PROBE_WEIGHT) * climbed
             case HealthState.SERVING:
                 base = 1.0
-        return max(PROBE_WEIGHT, base * math.pow(0.5, health.recent_failures(now)))
+        return max(PROBE_WEIGHT, base * math.pow(0.5, health.recent_failures(now_ms)))
 
-    def is_backing_off(self, server: str, now: int) -> bool:
-        """Whether a server rests after a failure."""
-        return now < self.record(server).resting_until
+    def is_backing_off(self, server: str, now_ms: int) -> bool:
+        """Whether a server is in back-off after a failure."""
+        return now_ms < self.record(server).backoff_until_ms
 
     def is_suspect(self, server: str) -> bool:
-        """Whether a server failed several times with no success since: one call at a time."""
-        return self.record(server).failures_in_a_row >= SUSPECT_FROM
+        """Whether a server failed several times in a row and gets one call at a time."""
+        return self.record(server).failures_in_a_row >= SUSPECT_AFTER_FAILURES
 
-    def take_overdue_jobs(self, server: str, now: int, pool: Iterable[str]) -> list[int]:
-        """Return the jobs to recall from a slow server: late and without a first token.
+    def take_overdue_jobs(self, server: str, now_ms: int, pool: Iterable[str]) -> list[int]:
+        """Return and remove the overdue jobs without a first token to recall from a server.
 
-        Asked of servers that are out or being probed. What was sent before the ejection, and
-        the probes themselves, would otherwise wait at the one server known to be slow. Recalls
-        from servers still in use were tried and do not pay (docs/design/load.md).
+        Only an ejected or probed server has any. Jobs sent before the ejection, and the probes
+        themselves, would otherwise wait at the one server known to be slow. Recalls from other
+        servers don't pay off (docs/design/load.md).
         """
         health = self.record(server)
         if health.state not in (HealthState.EJECTED, HealthState.PROBING):
             return []
-        limit = self._latest_normal(server, pool) * RECALL_SHARE
-        found = [job for job, (at, scale) in health.waiting.items() if now - at > limit * scale]
+        limit_ms = self._max_normal_ms(server, pool) * RECALL_RATIO
+        found = [
+            job
+            for job, (sent_ms, scale) in health.awaiting_first_token.items()
+            if now_ms - sent_ms > limit_ms * scale
+        ]
         for job in found:
-            # Its late first token will never be seen; it counts as seen now.
-            health.late.append(health.waiting.pop(job)[0])
+            # Its first token will never arrive here, so it counts as late now.
+            health.late_sent_ms.append(health.awaiting_first_token.pop(job)[0])
         return found
 
-    def all_failing(self, pool: Iterable[str], now: int) -> bool:
-        """Whether every server of a pool is out, rests after a failure, or is being tried.
+    def all_failing(self, pool: Iterable[str], now_ms: int) -> bool:
+        """Whether every server of a pool is ejected, in back-off after a failure, or being probed.
 
-        The bound on ejections keeps half of a dead region's servers in use. They fail at once
-        and so always look free; without this test the region would keep all its callers.
+        The limit on ejections keeps half of a dead region's servers in use. They fail at once
+        and so always look free; without this check the region would keep all its callers.
         """
-        return self.failing_share(pool, now) == 1.0
+        return self.failing_share(pool, now_ms) == 1.0
 
-    def failing_share(self, pool: Iterable[str], now: int) -> float:
-        """Return the share of a pool that is out, rests after a failure, or is being tried."""
-        failing = [self._is_failing(self.record(name), now) for name in pool]
+    def failing_share(self, pool: Iterable[str], now_ms: int) -> float:
+        """Return the share of a pool that is ejected, in back-off, or being probed."""
+        failing = [self._is_failing(self.record(name), now_ms) for name in pool]
         return sum(failing) / len(failing) if failing else 1.0
 
-    def ms_until_available(self, pool: Iterable[str], now: int) -> float:
-        """Return ms until some server of a pool may get work, 0 if one may now."""
-        waits = [self._next_try(self.record(name), now) for name in pool]
+    def ms_until_available(self, pool: Iterable[str], now_ms: int) -> float:
+        """Return the ms until some server of a pool may get work, 0 if one may now."""
+        waits = [self._ms_until_available(self.record(name), now_ms) for name in pool]
         return min(waits, default=math.inf)
 
-    def _next_try(self, health: Health, now: int) -> float:
+    def _ms_until_available(self, health: Health, now_ms: int) -> float:
         if health.state is HealthState.EJECTED:
-            return max(0, health.since + health.pause - now)
-        return max(0, health.resting_until - now)
+            return max(0, health.since_ms + health.ejection_ms - now_ms)
+        return max(0, health.backoff_until_ms - now_ms)
 
-    def _is_failing(self, health: Health, now: int) -> bool:
+    def _is_failing(self, health: Health, now_ms: int) -> bool:
         if health.state is HealthState.EJECTED:
             return True
         if health.state is HealthState.PROBING:
-            return bool(health.waiting)
-        if health.failures_in_a_row < SUSPECT_FROM:
+            return bool(health.awaiting_first_token)
+        if health.failures_in_a_row < SUSPECT_AFTER_FAILURES:
             return False
-        return now < health.resting_until or bool(health.waiting)
+        return now_ms < health.backoff_until_ms or bool(health.awaiting_first_token)
 
     def state(self, server: str) -> HealthState:
-        """Return whether a server gets work."""
+        """Return the health state of a server."""
         return self.record(server).state
 
-    def _latest_normal(self, server: str, pool: Iterable[str]) -> float:
-        """Return the time in ms past which a first token of this server is late."""
+    def _max_normal_ms(self, server: str, pool: Iterable[str]) -> float:
+        """Return the ms after which a first token of this server is late."""
         others = [
-            health.first_token
+            health.first_token_ms
             for name in pool
             if name != server
             and (health := self.record(name)).samples
@@ -276,37 +285,46 @@
         ]
         if not others:
             return math.inf
-        return SLOW_FACTOR * max(float(median(others)), SLOW_FLOOR_MS)
+        return SLOW_FACTOR * max(float(median(others)), MIN_NORMAL_MS)
 
-    def _is_slow(self, server: str, now: int, pool: Iterable[str]) -> bool:
+    def _is_slow(self, server: str, now_ms: int, pool: Iterable[str]) -> bool:
         health = self.record(server)
-        if not health.waiting and not health.late:
-            # Nothing to judge; the median of the others is work for each server at each tick.
+        if not health.awaiting_first_token and not health.late_sent_ms:
+            # Nothing to compare; the others' median is costly to compute at each tick.
             return False
-        normal = self._latest_normal(server, pool)
-        ages = [((now - at) / scale, at) for at, scale in health.waiting.values()]
-        late = [*health.late, *(at for age, at in ages if age > normal)]
-        if any(age > SILENT_FACTOR * normal for age, _ in ages):
+        normal_ms = self._max_normal_ms(server, pool)
+        ages = [
+            ((now_ms - sent_ms) / scale, sent_ms)
+            for sent_ms, scale in health.awaiting_first_token.values()
+        ]
+        late_sent_ms = [
+            *health.late_sent_ms,
+            *(sent_ms for age, sent_ms in ages if age > normal_ms),
+        ]
+        if any(age > NO_RESPONSE_FACTOR * normal_ms for age, _ in ages):
             return True
         if health.state is HealthState.PROBING:
-            return bool(late)
-        return len(late) >= SLOW_IN_A_ROW and max(late) - min(late) >= SLOW_SPAN_MS
+            return bool(late_sent_ms)
+        return (
+            len(late_sent_ms) >= MIN_SLOW_IN_A_ROW
+            and max(late_sent_ms) - min(late_sent_ms) >= MIN_SLOW_SPAN_MS
+        )
 
-    def _eject(self, server: str, now: int, peers: Iterable[str]) -> None:
+    def _eject(self, server: str, now_ms: int, peers: Iterable[str]) -> None:
         health = self.record(server)
         if health.state is HealthState.EJECTED:
             return
         pool = set(peers) | {server}
-        out = sum(1 for name in pool if self.record(name).state is HealthState.EJECTED)
-        if out + 1 > len(pool) * LARGEST_EJECTED_SHARE:
+        ejected = sum(1 for name in pool if self.record(name).state is HealthState.EJECTED)
+        if ejected + 1 > len(pool) * MAX_EJECTED_SHARE:
             return
         if health.state is not HealthState.SERVING:
-            health.pause = min(LONGEST_PAUSE_MS, health.pause * 2)
-        self._set(health, HealthState.EJECTED, now)
+            health.ejection_ms = min(MAX_EJECTION_MS, health.ejection_ms * 2)
+        self._set_state(health, HealthState.EJECTED, now_ms)
         health.failures_in_a_row = 0
         self.ejections += 1
 
-    def _set(self, health: Health, state: HealthState, now: int) -> None:
+    def _set_state(self, health: Health, state: HealthState, now_ms: int) -> None:
         health.state = state
-        health.since = now
-        health.late.clear()
+        health.since_ms = now_ms
+        health.late_sent_ms.clear()
--- a/src/hickorybeam/policy/report_intervals.py
+++ b/src/hickorybeam/policy/report_intervals.py
@@ -1,8 +1,8 @@
-"""How often VMs tell each other about themselves, and how long watches of the store rest.
+"""Intervals and timeouts of status reports between VMs, and of polls that watch the store.
 
-Load it answers: a fleet that grows. With fixed intervals each VM's datagrams would grow with the
-VMs of its data centre, and the store's calls with all of them; bytes between data centres and
-calls are paid for. All times are in ms.
+They grow with the fleet. With fixed intervals the datagrams of each VM would grow with the VMs of
+its data centre, and the store's calls with all VMs; bytes between data centres and calls to the
+store are paid for. All times are in ms.
 """
 
 from __future__ import annotations
@@ -26,94 +26,113 @@
     "watcher_timeout_ms",
 )
 
-# Words to the own data centre, whose figures also spread the load; longer apart for each VM in
-# it, so that what a VM sends and reads stays at about 140 datagrams a second. A prompt is read in
-# about 200 ms: words further apart tell of prompts that are read already, and VMs crowd on one
-# server.
-NEAR_EVERY_MS = 100
-NEAR_EVERY_PER_VM_MS = 7
-# Words to one VM of each other data centre, which passes them on within its own.
-OUTSIDE_EVERY_MS = 400
-OUTSIDE_EVERY_PER_VM_MS = 8
-MOST_OUTSIDE_EVERY_MS = 1_500
-# After all VMs were killed, those of a region hear of no other for as long as these words are
-# apart, while every caller comes back at once: its own servers got a second's worth of prompts
-# beside idle ones elsewhere.
-YOUNG_OUTSIDE_EVERY_MS = 100
-# Words to other data centres come by up to this share of their time earlier or later. VMs that
-# started together would speak together: all learn nothing for a second and a half, and then
-# everything at once.
-OUT_OF_STEP = 0.5
-# A VM that wasn't heard for so many words that it should have sent counts as gone, and not
-# before the least time: it is not named to callers and holds no part of a quota.
-HEARD_TIMES = 4
+# Reports to the own data centre, whose usage figures also balance load. The interval grows with
+# the VMs in it, so that a VM sends and receives about 140 datagrams a second. Prefill of a prompt
+# takes about 200 ms: reports further apart would describe prompts whose prefill is over, and VMs
+# would overload one server.
+MIN_LOCAL_INTERVAL_MS = 100
+LOCAL_INTERVAL_PER_VM_MS = 7
+# Reports to one VM of each other data centre, which forwards them within its own.
+MIN_REMOTE_INTERVAL_MS = 400
+REMOTE_INTERVAL_PER_VM_MS = 8
+MAX_REMOTE_INTERVAL_MS = 1_500
+# After all VMs were killed, those of a region know of no other region's until the first remote
+# report, while every caller returns at once: with the usual interval a region's own servers got a
+# second's worth of prompts while others were idle.
+STARTUP_REMOTE_INTERVAL_MS = 100
+# Remote reports are sent earlier or later by up to this proportion of their interval. VMs that
+# started together would otherwise report together: all would get no updates for 1.5 s, and then
+# all updates at once.
+JITTER = 0.5
+# A VM is no longer live after this many missed reports, but not before the minimum time: it is
+# not listed to callers and gets no share of a quota.
+PEER_TIMEOUT_REPORTS = 4
 MIN_PEER_TIMEOUT_MS = 1_500
-LEAST_WATCHER_HEARD_MS = 1_200
-# For quotas, words missed are taken for a cut sooner, and not before the least time.
-ALONE_TIMES = 2
+MIN_WATCHER_TIMEOUT_MS = 1_200
+# For quotas, fewer missed reports count as a partition, but not before the minimum time.
+QUOTA_PEER_TIMEOUT_REPORTS = 2
 MIN_QUOTA_PEER_TIMEOUT_MS = 2_000
-# After a change the watch rests, so that changes which come together cost one call: each change
-# wakes every watcher. With more of them it rests for longer.
-REST_MS = 400
-REST_PER_WATCHER_MS = 40
-MOST_REST_MS = 1_200
-# A quiet watch is asked again after this long for each watcher, within bounds: one whose
-# connection went silent is found by the first VM that asks again, whose word wakes the others.
-WAIT_PER_WATCHER_MS = 1_000
-LEAST_WAIT_MS = 6_000
-MOST_WAIT_MS = 20_000
+# Pause of a watch after a change, so that changes close together cost one call: each change wakes
+# every watcher. It grows with their number.
+MIN_PAUSE_MS = 400
+PAUSE_PER_WATCHER_MS = 40
+MAX_PAUSE_MS = 1_200
+# A poll without changes ends after this long for each watcher, within limits: a connection that
+# went silent is detected by the first VM that polls again, whose report wakes the others.
+POLL_TIMEOUT_PER_WATCHER_MS = 1_000
+MIN_POLL_TIMEOUT_MS = 6_000
+MAX_POLL_TIMEOUT_MS = 20_000
 
 
 def local_report_interval_ms(local_peers: int) -> int:
-    """Return the time between words to a data centre with so many other VMs."""
-    return max(NEAR_EVERY_MS, NEAR_EVERY_PER_VM_MS * local_peers)
+    """Return the time between reports to the own data centre.
+
+    :param local_peers: number of other VMs in the data centre.
+    """
+    return max(MIN_LOCAL_INTERVAL_MS, LOCAL_INTERVAL_PER_VM_MS * local_peers)
 
 
 def remote_report_interval_ms(vms: int, *, just_started: bool = False) -> int:
-    """Return the time between words to each other data centre, in a fleet of so many VMs.
+    """Return the time between reports to each other data centre.
 
-    :param just_started: the VM has just started and is to be heard soon.
+    :param vms: number of VMs in the fleet.
+    :param just_started: the VM has just started, and the fleet needs to know of it soon.
     """
     if just_started:
-        return YOUNG_OUTSIDE_EVERY_MS
-    return max(OUTSIDE_EVERY_MS, min(MOST_OUTSIDE_EVERY_MS, OUTSIDE_EVERY_PER_VM_MS * vms))
+        return STARTUP_REMOTE_INTERVAL_MS
+    return max(MIN_REMOTE_INTERVAL_MS, min(MAX_REMOTE_INTERVAL_MS, REMOTE_INTERVAL_PER_VM_MS * vms))
 
 
-def jittered_interval_ms(every_ms: int, rng: random.Random) -> float:
-    """Return the time until the next word to other data centres, about the usual one."""
-    return every_ms * rng.uniform(1 - OUT_OF_STEP, 1 + OUT_OF_STEP)
+def jittered_interval_ms(interval_ms: int, rng: random.Random) -> float:
+    """Return the time until the next remote report, with jitter."""
+    return interval_ms * rng.uniform(1 - JITTER, 1 + JITTER)
 
 
 def peer_timeout_ms(*, local_peers: int, vms: int) -> int:
-    """Return after which silence any VM counts as gone; its words may come by way of another."""
-    return max(MIN_PEER_TIMEOUT_MS, HEARD_TIMES * (local_report_interval_ms(local_peers) + remote_report_interval_ms(vms)))
+    """Return the time without a report, direct or forwarded, after which a VM isn't live."""
+    return max(
+        MIN_PEER_TIMEOUT_MS,
+        PEER_TIMEOUT_REPORTS
+        * (local_report_interval_ms(local_peers) + remote_report_interval_ms(vms)),
+    )
 
 
 def isolation_timeout_ms(local_peers: int) -> int:
-    """Return after which time without any word at all a VM takes itself for cut off."""
+    """Return the time without any report after which a VM considers itself isolated."""
     return watcher_timeout_ms(local_peers)
 
 
 def quota_peer_timeout_ms(*, local_peers: int, vms: int) -> int:
-    """Return after which silence another VM counts as spending out of a part of its own.
+    """Return the time without a report after which a VM counts as spending its own quota share.
 
-    In a fleet of hundreds a VM counts as gone only after most of a quota's window. Until then
-    both sides of a cut would spend whole rates.
+    In a fleet of hundreds ``peer_timeout_ms`` is most of a quota's window. Until then both sides
+    of a partition would spend whole rates.
     """
-    words_ms = local_report_interval_ms(local_peers) + remote_report_interval_ms(vms)
-    return min(peer_timeout_ms(local_peers=local_peers, vms=vms), max(MIN_QUOTA_PEER_TIMEOUT_MS, ALONE_TIMES * words_ms))
+    report_interval_ms = local_report_interval_ms(local_peers) + remote_report_interval_ms(vms)
+    return min(
+        peer_timeout_ms(local_peers=local_peers, vms=vms),
+        max(MIN_QUOTA_PEER_TIMEOUT_MS, QUOTA_PEER_TIMEOUT_REPORTS * report_interval_ms),
+    )
 
 
 def watcher_timeout_ms(local_peers: int) -> int:
-    """Return after which silence a watcher of the data centre is not relied on any more."""
-    return max(LEAST_WATCHER_HEARD_MS, HEARD_TIMES * local_report_interval_ms(local_peers))
+    """Return the time without a report after which a local watcher is no longer relied on."""
+    return max(MIN_WATCHER_TIMEOUT_MS, PEER_TIMEOUT_REPORTS * local_report_interval_ms(local_peers))
 
 
 def watch_pause_ms(watchers: int) -> int:
-    """Return how long a watch rests after a call that brought changes."""
-    return max(REST_MS, min(MOST_REST_MS, REST_PER_WATCHER_MS * watchers))
+    """Return the pause of a watch after a poll that returned changes.
+
+    :param watchers: number of VMs in the fleet that watch the store.
+    """
+    return max(MIN_PAUSE_MS, min(MAX_PAUSE_MS, PAUSE_PER_WATCHER_MS * watchers))
 
 
 def watch_poll_timeout_ms(watchers: int) -> int:
-    """Return how long one call of a watch waits at the store."""
-    return max(LEAST_WAIT_MS, min(MOST_WAIT_MS, WAIT_PER_WATCHER_MS * watchers))
+    """Return how long one poll of a watch may wait at the store.
+
+    :param watchers: number of VMs in the fleet that watch the store.
+    """
+    return max(
+        MIN_POLL_TIMEOUT_MS, min(MAX_POLL_TIMEOUT_MS, POLL_TIMEOUT_PER_WATCHER_MS * watchers)
+    )
--- a/src/hickorybeam/policy/retry.py
+++ b/src/hickorybeam/policy/retry.py
@@ -1,13 +1,12 @@
-"""Whether a failed call is sent again, and after how long.
+"""Whether a failed call is retried, and after which back-off.
 
-Load pattern: an outage or a slow spell makes many calls fail at once. If each is sent again,
-and again, the load at the servers that still work doubles or triples just then, and the
-outage outlives its cause (retry storm). The budget bounds the sum of retries to a share of
-the first attempts. The backoff is decorrelated, so that calls that failed together do not
-come back together.
+In an outage or a slow period many calls fail at once. If each is retried, several times, the
+load on the servers that still work doubles or triples, and the outage outlives its cause (retry
+storm). The budget limits retries to a share of the first attempts. The back-off is decorrelated,
+so that calls that failed together are not retried together.
 
-What may be sent again at all: a call of which nothing reached its caller yet, and that
-either did not run or may run twice.
+A call may be retried if nothing of its response has reached the caller, and it either did not
+run or is idempotent.
 """
 
 from __future__ import annotations
@@ -25,17 +24,17 @@
 
 __all__ = ("RetryBudget", "RetryDenied", "backoff_ms", "may_retry")
 
-# A tenth: at 100% failures the servers see 1.1 times the first attempts. A single dead server
-# of six fails one call in six until its ejection after three, well within the reserve.
-RATIO = 0.1
-# What a quiet VM may retry with no history: enough for one dead server's three failures in a
-# row, several times over.
-RESERVE = 10.0
-FIRST_PAUSE_MS = 10
-LONGEST_PAUSE_MS = 1_000
+# If all calls fail, the servers get 1.1 times the first attempts. A single dead server of six
+# fails one call in six until it is ejected after three, well within the saved retries.
+RETRY_RATIO = 0.1
+# Available to a VM without any traffic yet: several times one dead server's three failures in a
+# row.
+MAX_SAVED_RETRIES = 10.0
+INITIAL_BACKOFF_MS = 10
+MAX_BACKOFF_MS = 1_000
 MAX_ATTEMPTS = 3
 
-REPEATABLE = frozenset(
+RETRYABLE_KINDS = frozenset(
     {
         ErrorKind.BACKEND_REFUSED,
         ErrorKind.BACKEND_FAILED,
@@ -53,7 +52,7 @@
 
 
 class RetryDenied(Enum):
-    """Why a failed call was not sent again."""
+    """Why a failed call was not retried."""
 
     NOT_REPEATABLE = "not_repeatable"
     ANSWER_BEGUN = "answer_begun"
@@ -64,32 +63,32 @@
 
 
 def may_retry(exc: GatewayError, *, idempotent: bool) -> bool:
-    """Whether the failed attempt may be followed by another one.
+    """Whether a failed attempt may be followed by another one.
 
-    A call that may not be repeated goes again only when it is known not to have run.
+    A call that isn't idempotent is retried only if it is known not to have run.
     """
-    return exc.kind in REPEATABLE and (idempotent or exc.ran is Ran.NO)
+    return exc.kind in RETRYABLE_KINDS and (idempotent or exc.ran is Ran.NO)
 
 
-def backoff_ms(previous: int, rng: random.Random) -> int:
-    """Return the pause before the next attempt, given the one before (0 for none)."""
-    if previous <= 0:
-        return FIRST_PAUSE_MS
-    return min(LONGEST_PAUSE_MS, rng.randint(FIRST_PAUSE_MS, previous * 3))
+def backoff_ms(previous_ms: int, rng: random.Random) -> int:
+    """Return the back-off before the next attempt, given the previous one (0 for none)."""
+    if previous_ms <= 0:
+        return INITIAL_BACKOFF_MS
+    return min(MAX_BACKOFF_MS, rng.randint(INITIAL_BACKOFF_MS, previous_ms * 3))
 
 
 @dataclass(slots=True)
 class RetryBudget:
-    """Retries that this VM may still make; every first attempt adds a share of one."""
+    """Retries that this VM may still make; every first attempt adds a fraction of one."""
 
-    left: float = RESERVE
+    left: float = MAX_SAVED_RETRIES
 
     def record_first_attempt(self) -> None:
-        """Count a first attempt."""
-        self.left = min(RESERVE, self.left + RATIO)
+        """Add the fraction of a retry earned by a first attempt."""
+        self.left = min(MAX_SAVED_RETRIES, self.left + RETRY_RATIO)
 
     def take(self) -> bool:
-        """Take one retry, if there is one."""
+        """Take one retry if available; return whether it was."""
         if self.left < 1.0:
             return False
         self.left -= 1.0
--- a/src/hickorybeam/policy/shedding.py
+++ b/src/hickorybeam/policy/shedding.py
@@ -1,13 +1,12 @@
-"""What is given up first when there is too much: the order of a brownout.
+"""Load shedding: which queued jobs and request bodies are refused when there are too many.
 
-Load pattern: capacity goes while jobs wait, as when a region's engines are lost. The queue
-then holds more than can run in time. First come first served gives up the latest arrivals,
-whoever sent them; the small account loses its one question with the rest. Here the account
-with the largest backlog for its weight gives first, and of its jobs those of low priority,
-then the long ones, then the latest. A small account is reached last, when every larger one
-has come down to its size.
+When capacity is lost while jobs wait, as when a region loses its engines, the queue holds more
+than can run in time. First come first served would shed the latest arrivals of any account, and a
+small account would lose its only job with the rest. Here the account with the largest backlog for
+its weight is shed first, and of its jobs those of low priority, then the long ones, then the
+latest. A small account is reached last, when every larger one is down to its size.
 
-A job that is given up gets its refusal at once, with the time to come back.
+A shed job is refused at once, with a retry-after time.
 """
 
 from __future__ import annotations
@@ -22,74 +21,78 @@
 
 
 def jobs_to_shed(queue: FairQueue, *, max_backlog_tokens: float) -> list[Job]:
-    """Return the jobs to give up so that no more than ``max_backlog_tokens`` tokens wait, in order.
+    """Return the jobs to shed, in order, so that at most ``max_backlog_tokens`` tokens wait.
 
-    The jobs are still in the queue; the caller removes them.
+    The jobs stay in the queue; the calling code removes them.
     """
-    excess = queue.backlog - max_backlog_tokens
-    if excess <= 0:
+    excess_tokens = queue.backlog - max_backlog_tokens
+    if excess_tokens <= 0:
         return []
-    chosen: list[Job] = []
-    backlog = {}
+    shed: list[Job] = []
+    backlog_tokens = {}
     waiting: dict[str, list[Job]] = {}
     for job in queue.jobs():
         waiting.setdefault(job.account, []).append(job)
     for account, jobs in waiting.items():
-        jobs.sort(key=_kept_longest, reverse=True)
-        backlog[account] = sum(job.cost for job in jobs)
-    while excess > 0 and backlog:
-        account = max(backlog, key=lambda name: backlog[name] / waiting[name][-1].weight)
+        jobs.sort(key=_retention_order, reverse=True)
+        backlog_tokens[account] = sum(job.cost for job in jobs)
+    while excess_tokens > 0 and backlog_tokens:
+        account = max(
+            backlog_tokens, key=lambda name: backlog_tokens[name] / waiting[name][-1].weight
+        )
         job = waiting[account].pop()
-        chosen.append(job)
-        excess -= job.cost
-        backlog[account] -= job.cost
+        shed.append(job)
+        excess_tokens -= job.cost
+        backlog_tokens[account] -= job.cost
         if not waiting[account]:
-            del backlog[account]
-    return chosen
+            del backlog_tokens[account]
+    return shed
 
 
-def _kept_longest(job: Job) -> tuple[int, int, int]:
-    """Sort key: what is given up last comes first when sorted in reverse."""
+def _retention_order(job: Job) -> tuple[int, int, int]:
+    """Return a sort key by which the job to shed last comes first in reverse order."""
     return (job.priority, -job.cost, -job.arrived)
 
 
 class BodyMemoryLimit:
-    """Bytes of request bodies that this VM holds, queued and running.
+    """Limit on the bytes of request bodies that this VM holds, queued and running.
 
-    A burst of large bodies otherwise ends the process, and with it every stream it carries.
-    An account may hold at most half of what is free, so that one account's bodies leave room
-    for others at every fill level.
+    Without it, a burst of large bodies ends the process and with it every stream. An account may
+    hold at most half of the free memory, so that one account's bodies always leave room for
+    others.
     """
 
-    SHARE_OF_FREE = 0.5
+    MAX_SHARE_OF_FREE = 0.5
 
     def __init__(self, limit: int) -> None:
-        self._limit = limit
-        self._held = 0
-        self._by_account: dict[str, int] = {}
+        self._limit_bytes = limit
+        self._held_bytes = 0
+        self._bytes_by_account: dict[str, int] = {}
 
     @property
     def held(self) -> int:
-        """Bytes held now."""
-        return self._held
+        """The bytes held now."""
+        return self._held_bytes
 
-    def fits(self, account: str, size: int) -> bool:
-        """Whether a body of this size may be held for this account."""
-        free = self._limit - self._held
-        if size > free:
+    def fits(self, account: str, size_bytes: int) -> bool:
+        """Whether a body of this size may be held for an account."""
+        free_bytes = self._limit_bytes - self._held_bytes
+        if size_bytes > free_bytes:
             return False
-        return self._by_account.get(account, 0) + size <= max(size, free * self.SHARE_OF_FREE)
+        return self._bytes_by_account.get(account, 0) + size_bytes <= max(
+            size_bytes, free_bytes * self.MAX_SHARE_OF_FREE
+        )
 
-    def reserve(self, account: str, size: int) -> None:
+    def reserve(self, account: str, size_bytes: int) -> None:
         """Count a body as held."""
-        self._held += size
-        self._by_account[account] = self._by_account.get(account, 0) + size
-
-    def release(self, account: str, size: int) -> None:
-        """Count a body as gone."""
-        self._held -= size
-        left = self._by_account.get(account, 0) - size
-        if left > 0:
-            self._by_account[account] = left
+        self._held_bytes += size_bytes
+        self._bytes_by_account[account] = self._bytes_by_account.get(account, 0) + size_bytes
+
+    def release(self, account: str, size_bytes: int) -> None:
+        """Count a body as released."""
+        self._held_bytes -= size_bytes
+        left_bytes = self._bytes_by_account.get(account, 0) - size_bytes
+        if left_bytes > 0:
+            self._bytes_by_account[account] = left_bytes
         else:
-            self._by_account.pop(account, None)
+            self._bytes_by_account.pop(account, None)
--- a/src/hickorybeam/policy/shutdown.py
+++ b/src/hickorybeam/policy/shutdown.py
@@ -1,8 +1,8 @@
-"""What a VM that shuts down still takes, and for how long.
+"""Which requests a VM still accepts during shutdown, and for how long.
 
-Load it answers: VMs that are replaced in turn while callers hold lists that name them, and other
-regions' VMs hand them requests that may run nowhere else. Everything is taken for a moment, then
-only what surely ends before the process does; a request taken later would be cut in its middle.
+VMs are replaced in turn while callers still hold lists that name them, and VMs of other regions
+forward requests to them that may run nowhere else. At first all requests are accepted, then only
+those that surely end before the process does; one accepted later would be cut off in the middle.
 """
 
 from __future__ import annotations
@@ -11,43 +11,44 @@
 
 __all__ = ("ShutdownSchedule",)
 
-# Shares of the time that a shutdown may take.
-SERVE_ON_SHARE = 0.3
-ACCEPT_ON_SHARE = 0.57
-# What runs is finished by this long before the process is killed, in ms.
+# Ends of the two phases, as proportions of the grace period.
+ACCEPT_ALL_RATIO = 0.3
+ACCEPT_RATIO = 0.57
+# All requests end this long before the process is killed.
 END_MARGIN_MS = 400
 
 
 @dataclass(frozen=True, slots=True)
 class ShutdownSchedule:
-    """The times of one shutdown, in ms after it began.
+    """The phases of a shutdown, in ms since it began.
 
-    :param grace_ms: how long it may take.
+    :param grace_ms: grace period, after which the process is killed.
     """
 
     grace_ms: float
 
     @property
     def accept_all_until_ms(self) -> float:
-        """Until when everything is taken: callers still hold lists that name the VM."""
-        return self.grace_ms * SERVE_ON_SHARE
+        """The time until which all requests are accepted: callers' lists still name the VM."""
+        return self.grace_ms * ACCEPT_ALL_RATIO
 
     @property
     def accept_until_ms(self) -> float:
-        """Until when connections are taken, for what surely ends in time.
+        """The time until which requests that surely end in time are accepted.
 
-        The last VM of a caller's homes is used up to there.
+        The last VM of a caller's home regions is used until then.
         """
-        return self.grace_ms * ACCEPT_ON_SHARE
+        return self.grace_ms * ACCEPT_RATIO
 
     @property
     def finish_by_ms(self) -> float:
-        """When all that runs has to be finished."""
+        """The time at which all requests have to be finished."""
         return self.grace_ms - END_MARGIN_MS
 
     def accepts(self, *, since_ms: float, left_ms: float) -> bool:
-        """Return whether the VM takes a request with so much time left and surely ends it.
+        """Whether a request is accepted and surely ends in time.
 
-        :param since_ms: for how long the VM has been shutting down.
+        :param since_ms: time since the shutdown began.
+        :param left_ms: time until the request's deadline.
         """
         return since_ms < self.accept_until_ms and since_ms + left_ms <= self.finish_by_ms
--- a/src/hickorybeam/policy/watchers.py
+++ b/src/hickorybeam/policy/watchers.py
@@ -1,10 +1,10 @@
-"""Which VMs of a data centre watch the store; the others learn changes from them.
+"""Which VMs of a data centre watch the store; the others get changes from them.
 
-Load it answers: a large fleet in a day with many changes. Each change ends the waiting call of
-every watch, and every VM asks again: as many calls as VMs for one change, all paid for. With
-two watchers a data centre the calls grow with the data centres and no longer with the VMs.
-A VM stops watching only while it hears enough others that follow the store, so that a watcher
-that dies, leaves or loses the store is followed by the next one in order, without a word.
+Each change ends the waiting poll of every watcher, which then polls again: if all VMs of a large
+fleet watched, one change would cost as many calls as there are VMs, all paid for. With two
+watchers in each data centre the calls grow with the data centres and not with the VMs.
+A VM stops watching only while enough others are live and watch the store, so that a watcher that
+dies, leaves or loses the store is replaced by the next one in the ranking, without coordination.
 """
 
 from __future__ import annotations
@@ -18,30 +18,32 @@
 
 __all__ = ("count_watchers", "should_watch")
 
-# Watchers of a data centre: one can be lost, cut off or turned away, and the other goes on.
-WATCHERS = 2
-# In smaller data centres all watch: leaving it to others would save few calls.
-MOST_THAT_ALL_WATCH = 4
-ORDER = "watches the store"
+# If one is lost, partitioned or refused by the store, the other goes on.
+WATCHERS_PER_DATA_CENTRE = 2
+# In data centres of up to this many VMs all watch: two watchers would save few calls.
+MAX_VMS_WHERE_ALL_WATCH = 4
+RANKING_KEY = "watches the store"
 
 
 def should_watch(me: str, live_peers: Mapping[str, bool]) -> bool:
-    """Whether a VM watches the store itself.
+    """Whether a VM should watch the store itself.
 
-    :param me: its name.
-    :param live_peers: the other VMs of its data centre that it has heard lately, and whether each
-        follows the store.
+    :param me: the VM's name.
+    :param live_peers: the other live VMs of its data centre, and whether each watches the store.
     """
-    if len(live_peers) + 1 <= MOST_THAT_ALL_WATCH:
+    if len(live_peers) + 1 <= MAX_VMS_WHERE_ALL_WATCH:
         return True
-    order = rendezvous_order(ORDER, [me, *live_peers])
-    before = order[: order.index(me)]
-    return sum(live_peers[name] for name in before) < WATCHERS
+    ranking = rendezvous_order(RANKING_KEY, [me, *live_peers])
+    higher_ranked = ranking[: ranking.index(me)]
+    return sum(live_peers[name] for name in higher_ranked) < WATCHERS_PER_DATA_CENTRE
 
 
-def count_watchers(centres: Mapping[str, int]) -> int:
-    """Return how many VMs watch the store in all.
+def count_watchers(data_centres: Mapping[str, int]) -> int:
+    """Return the number of VMs in the fleet that watch the store.
 
-    :param centres: how many VMs each data centre has.
+    :param data_centres: number of VMs in each data centre.
     """
-    return sum(size if size <= MOST_THAT_ALL_WATCH else WATCHERS for size in centres.values())
+    return sum(
+        size if size <= MAX_VMS_WHERE_ALL_WATCH else WATCHERS_PER_DATA_CENTRE
+        for size in data_centres.values()
+    )
