--- a/src/hickorybeam/policy/coordinators.py
+++ b/src/hickorybeam/policy/coordinators.py
@@ -12,7 +12,7 @@
 
 from typing import TYPE_CHECKING
 
-from hickorybeam.policy.cold_limit import rendezvous
+from hickorybeam.policy.cold_limit import rendezvous_order
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
@@ -40,5 +40,5 @@
     if len(vms) <= MAX_VMS_WITHOUT_COORDINATOR:
         return []
     strong = max(vms.values()) * STRONG_SHARE
-    order = rendezvous(f"{HASH_KEY_PREFIX} {service}", vms)
+    order = rendezvous_order(f"{HASH_KEY_PREFIX} {service}", vms)
     return sorted(order, key=lambda name: vms[name] < strong)
--- a/src/hickorybeam/policy/server_choice.py
+++ b/src/hickorybeam/policy/server_choice.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from hickorybeam.policy.cold_limit import rendezvous
+from hickorybeam.policy.cold_limit import rendezvous_order
 from hickorybeam.policy.server_speed import ServerSpeed
 from hickorybeam.policy.stale_load import draw_server
 
@@ -234,7 +234,7 @@
     preferred = None
     if len(parts) > 1:
         local = [it for it in states if it.server.data_centre == data_centre] or states
-        preferred = rendezvous(parts[-2].id, [it.server.id for it in local])[0]
+        preferred = rendezvous_order(parts[-2].id, [it.server.id for it in local])[0]
     ordered = sorted(states, key=lambda it: it.server.id)
     costs = []
     for state in ordered:
