--- a/bench/placing_cost.py
+++ b/bench/placing_cost.py
@@ -15,12 +15,12 @@
 
 from hickorybeam.clock import SystemClock
 from hickorybeam.gateway.fleet import Word
-from hickorybeam.gateway.grants import Grants
+from hickorybeam.gateway.placement_coordinator import PlacementCoordinator
 from hickorybeam.gateway.knowledge import Knowledge
-from hickorybeam.gateway.line import Lines
-from hickorybeam.gateway.place_words import Ending, Told, Wanted
-from hickorybeam.gateway.placing import Placing
-from hickorybeam.gateway.queueing import Queueing
+from hickorybeam.gateway.service_queue import ServiceQueues
+from hickorybeam.gateway.placement_messages import SendStatus, PlacementUpdate, PlacementRequest
+from hickorybeam.gateway.target_selector import TargetSelector
+from hickorybeam.gateway.local_placement import LocalPlacement
 from hickorybeam.model.routing import RegisteredServer
 from hickorybeam.policy.prefix_holders import PrefixHolders
 from hickorybeam.policy.shutdown import Shutdown
@@ -55,30 +55,30 @@
         holders=PrefixHolders(),
         is_here=lambda data_centre: True,
         region_lag_ms=0.0,
-        who_places=SimpleNamespace(
-            places=lambda service: True, warming=lambda server: [], serving=lambda: ["v0"]
+        coordinators=SimpleNamespace(
+            is_coordinator=lambda service: True, cold_server_senders=lambda server: [], serving_vms=lambda: ["v0"]
         ),
         elsewhere=lambda service, leaving=False: [],
         say=lambda vm, word: msgspec.msgpack.encode(word),
     )
-    lines = Lines(clock)
-    placing = Placing(
-        shutdown=Shutdown(8_000), clock=clock, knowledge=knowledge, fleet=fleet, lines=lines
+    lines = ServiceQueues(clock)
+    placing = TargetSelector(
+        shutdown=Shutdown(8_000), clock=clock, knowledge=knowledge, fleet=fleet, queues=lines
     )
-    queueing = Queueing(clock=clock, lines=lines, placing=placing)
-    grants = Grants(clock=clock, fleet=fleet, placing=placing, queueing=queueing)
+    queueing = LocalPlacement(clock=clock, queues=lines, selector=placing)
+    grants = PlacementCoordinator(clock=clock, fleet=fleet, selector=placing, local_placement=queueing)
     words = [msgspec.msgpack.encode(question(number)) for number in range(PROMPTS)]
     began = time.process_time()
     for number, word in enumerate(words):
-        grants.wanted(msgspec.msgpack.decode(word, type=Word))
-        for ending in (Ending.READ, Ending.ANSWERED):
-            told = msgspec.msgpack.encode(Told("v1", [(number, ending)]))
-            grants.told(msgspec.msgpack.decode(told, type=Word))
+        grants.handle_request(msgspec.msgpack.decode(word, type=Word))
+        for ending in (SendStatus.READ, SendStatus.ANSWERED):
+            told = msgspec.msgpack.encode(PlacementUpdate("v1", [(number, ending)]))
+            grants.handle_update(msgspec.msgpack.decode(told, type=Word))
     return (time.process_time() - began) * 1_000 / PROMPTS
 
 
-def question(number: int) -> Wanted:
-    return Wanted(
+def question(number: int) -> PlacementRequest:
+    return PlacementRequest(
         vm="v1",
         number=number,
         service="m",
--- a/src/hickorybeam/gateway/admission.py
+++ b/src/hickorybeam/gateway/admission.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from hickorybeam.errors import ErrorKind, GatewayError
-from hickorybeam.gateway.attempt import Errand
+from hickorybeam.gateway.attempt import AdmittedRequest
 from hickorybeam.model import key_digest
 from hickorybeam.model.routing import Unit
 from hickorybeam.policy.come_back import come_back_ms
@@ -46,7 +46,7 @@
         self.draining = False
         self.ends_ms: int | None = None
 
-    def admit(self, call: RelayCall) -> Errand:
+    def admit(self, call: RelayCall) -> AdmittedRequest:
         """Return what was decided about a request.
 
         :raises GatewayError: it is refused.
@@ -65,7 +65,7 @@
         if self.ends_ms is not None and deadline > self.ends_ms:
             raise GatewayError(ErrorKind.DRAINING, retry_after_ms=LEAVING_COME_BACK_MS)
         cost = self._spend(call, terms)
-        return Errand(
+        return AdmittedRequest(
             call=call,
             route=route,
             service=pick_target(route, self._rng.random()),
--- a/src/hickorybeam/gateway/attempt.py
+++ b/src/hickorybeam/gateway/attempt.py
@@ -16,7 +16,7 @@
     from collections.abc import Callable
 
     from hickorybeam.gateway.peers import Peer
-    from hickorybeam.gateway.place_asking import Grant
+    from hickorybeam.gateway.placement_client import Grant
     from hickorybeam.http1 import AnswerHead, RawHeaders, UpstreamConnection, UpstreamPool
     from hickorybeam.model.routing import RelayCall, Route
     from hickorybeam.platform import AnswerFacts
@@ -24,16 +24,16 @@
 
 __all__ = (
     "HOP_ACCOUNT",
-    "HOP_COME_BACK",
-    "HOP_LEFT",
+    "HOP_RETRY_AFTER_MS",
+    "HOP_TIME_LEFT_MS",
     "HOP_NOT_RUN",
-    "HOP_RESUME",
+    "HOP_RESUME_AFTER",
     "HOP_SERVICE",
     "HOP_URGENCY",
     "NOT_ASKED",
     "REJECTED",
     "Attempt",
-    "Errand",
+    "AdmittedRequest",
     "NotSentError",
     "SilentError",
     "Target",
@@ -44,15 +44,15 @@
 # Between VMs: set by the sending VM, never taken from callers, who don't reach this port.
 HOP_SERVICE = b"hop-service"
 HOP_ACCOUNT = b"hop-account"
-HOP_LEFT = b"hop-left-ms"
+HOP_TIME_LEFT_MS = b"hop-left-ms"
 HOP_URGENCY = b"hop-urgency"
-HOP_RESUME = b"hop-resume-after"
+HOP_RESUME_AFTER = b"hop-resume-after"
 # In an answer between VMs: the request was not run, and nothing of the answer is a server's. Its
 # value tells whether a server was asked and rejected it, or none was asked.
 HOP_NOT_RUN = b"hop-not-run"
 REJECTED, NOT_ASKED = b"rejected", b"not-asked"
 # Beside it: in how many ms the region expects to have room.
-HOP_COME_BACK = b"hop-come-back-ms"
+HOP_RETRY_AFTER_MS = b"hop-come-back-ms"
 # How often it is looked again whether a request should leave a silent server, in ms.
 ASK_AGAIN_MS = 200
 
@@ -102,7 +102,7 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class Errand:
+class AdmittedRequest:
     """A request with all that was decided about it.
 
     ``resume_after`` is the id of the last event that the caller has; it moves as a stream goes
@@ -126,7 +126,7 @@
     """
 
     def __init__(
-        self, pool: UpstreamPool, target: Target, errand: Errand, *, copy_from: str | None = None
+        self, pool: UpstreamPool, target: Target, errand: AdmittedRequest, *, copy_from: str | None = None
     ) -> None:
         self._pool = pool
         self._copy_from = copy_from
@@ -169,7 +169,7 @@
         hop = find(head.headers, HOP_NOT_RUN)
         if hop is not None:
             await self._finish()
-            after = find(head.headers, HOP_COME_BACK) or b""
+            after = find(head.headers, HOP_RETRY_AFTER_MS) or b""
             raise NotSentError(
                 "the other region did not run it",
                 rejected=hop != NOT_ASKED,
@@ -258,15 +258,15 @@
             return (peer.vm.host, peer.vm.peer_port)
 
 
-def hop_headers(errand: Errand, left_ms: int) -> RawHeaders:
+def hop_headers(errand: AdmittedRequest, left_ms: int) -> RawHeaders:
     """Return what a VM tells another one beside the caller's own headers."""
     headers = [
         (HOP_SERVICE, errand.service.encode("latin-1")),
-        (HOP_LEFT, b"%d" % max(1, left_ms)),
+        (HOP_TIME_LEFT_MS, b"%d" % max(1, left_ms)),
         (HOP_URGENCY, b"%d" % errand.urgency),
     ]
     if errand.account is not None:
         headers.append((HOP_ACCOUNT, errand.account.encode("latin-1")))
     if errand.resume_after is not None:
-        headers.append((HOP_RESUME, errand.resume_after.encode("latin-1")))
+        headers.append((HOP_RESUME_AFTER, errand.resume_after.encode("latin-1")))
     return tuple(headers)
--- a/src/hickorybeam/gateway/cold_asking.py
+++ b/src/hickorybeam/gateway/cold_asking.py
@@ -75,7 +75,7 @@
             if self._fleet.is_here(it.server.data_centre)
         }
         mine = servers_to_ask(
-            self._fleet.me.name, servers=here, vms=self._fleet.who_places.serving()
+            self._fleet.me.name, servers=here, vms=self._fleet.coordinators.serving_vms()
         )
         return [here[name] for name in mine]
 
--- a/src/hickorybeam/gateway/who_places.py
+++ b/src/hickorybeam/gateway/coordinator_ranking.py
@@ -13,10 +13,10 @@
     from hickorybeam.gateway.peers import PeerTable
     from hickorybeam.model.routing import GatewayVm, RegisteredServer
 
-__all__ = ("WhoPlaces",)
+__all__ = ("CoordinatorRanking",)
 
 
-class WhoPlaces:
+class CoordinatorRanking:
     """The region's VMs in the order in which they place, as this VM sees them.
 
     :param me: the VM of this process.
@@ -29,35 +29,35 @@
         self._stays = stays
         self._orders: dict[str, list[str]] = {}
 
-    def look_again(self) -> None:
+    def invalidate(self) -> None:
         """Forget the orders; VMs may have come or gone."""
         self._orders.clear()
 
-    def placer(self, service: str, *, silent: Collection[str] = ()) -> str:
+    def coordinator(self, service: str, *, silent: Collection[str] = ()) -> str:
         """Return the VM that places a service's prompts, this one where each decides alone.
 
         :param silent: VMs that did not answer lately.
         """
-        order = self.order(service)
+        order = self.ranking(service)
         return next((name for name in order if name not in silent), self._me.name)
 
-    def places(self, service: str) -> bool:
+    def is_coordinator(self, service: str) -> bool:
         """Whether this VM places a service's prompts for the others of the region."""
-        return self.order(service)[:1] == [self._me.name]
+        return self.ranking(service)[:1] == [self._me.name]
 
-    def warming(self, server: RegisteredServer) -> list[str]:
+    def cold_server_senders(self, server: RegisteredServer) -> list[str]:
         """Return the VMs that may choose a server while it is cold.
 
         Where one VM places for all, it is one of them: others would hardly ever be asked to.
         """
-        order = self.order(server.service)
-        return order[:OWNERS] if order else cold_owners(server.id, self.serving())
+        order = self.ranking(server.service)
+        return order[:OWNERS] if order else cold_owners(server.id, self.serving_vms())
 
-    def serving(self) -> list[str]:
+    def serving_vms(self) -> list[str]:
         """Return the names of the VMs of this region, this one included."""
         return [self._me.name, *(vm.name for vm in self._peers.serving(self._me.region))]
 
-    def order(self, service: str) -> list[str]:
+    def ranking(self, service: str) -> list[str]:
         """Return the VMs that place a service's prompts, in order; none where each does."""
         order = self._orders.get(service)
         if order is None:
--- a/src/hickorybeam/gateway/feed.py
+++ b/src/hickorybeam/gateway/feed.py
@@ -16,7 +16,7 @@
 
 from hickorybeam.clock import MS_PER_SECOND
 from hickorybeam.errors import ErrorKind, GatewayError
-from hickorybeam.gateway.asking import VmAsker
+from hickorybeam.gateway.vm_client import VmClient
 from hickorybeam.gateway.changes import ChangeLog, decode_changes, decode_entries, encode_entries
 from hickorybeam.gateway.knowledge import Knowledge
 from hickorybeam.kernel import Service
@@ -91,7 +91,7 @@
         self._behind_since_ms: int | None = None
         self._missing = 0
         self._watching = anyio.CancelScope()
-        self._asker = VmAsker(clock)
+        self._asker = VmClient(clock)
         self._version = counters.gauge("config_version", "Version of the configuration in force")
 
     def bind(self, kernel: Kernel) -> None:
--- a/src/hickorybeam/gateway/endings.py
+++ b/src/hickorybeam/gateway/final_responses.py
@@ -5,16 +5,16 @@
 from typing import TYPE_CHECKING
 
 from hickorybeam.errors import ErrorKind, GatewayError, Ran, answer_for
-from hickorybeam.gateway.attempt import HOP_COME_BACK, HOP_NOT_RUN, NOT_ASKED, REJECTED
+from hickorybeam.gateway.attempt import HOP_RETRY_AFTER_MS, HOP_NOT_RUN, NOT_ASKED, REJECTED
 from hickorybeam.gateway.progress import name_of
 from hickorybeam.platform import answer_headers, refusal_headers
 from hickorybeam.policy.come_back import bounded_ms, come_back_ms
 
 if TYPE_CHECKING:
     from hickorybeam.clock import Clock
-    from hickorybeam.gateway.attempt import Errand, Target
+    from hickorybeam.gateway.attempt import AdmittedRequest, Target
     from hickorybeam.gateway.feed import FeedService
-    from hickorybeam.gateway.placing import Placing
+    from hickorybeam.gateway.target_selector import TargetSelector
     from hickorybeam.gateway.progress import Progress
     from hickorybeam.http1 import RawHeaders, Reply
     from hickorybeam.model.routing import RelayCall
@@ -29,7 +29,7 @@
     if not progress.here_only:
         return ()
     mark = (HOP_NOT_RUN, REJECTED if progress.arrived else NOT_ASKED)
-    return (mark, (HOP_COME_BACK, b"%d" % (come_back_ms or 0)))
+    return (mark, (HOP_RETRY_AFTER_MS, b"%d" % (come_back_ms or 0)))
 
 
 class Endings:
@@ -41,7 +41,7 @@
         clock: Clock,
         counters: Counters,
         feed: FeedService,
-        placing: Placing,
+        placing: TargetSelector,
         log: DecisionLog,
     ) -> None:
         self._clock = clock
@@ -50,7 +50,7 @@
         self._counters = counters
         self._log = log
 
-    def give_up(self, errand: Errand, progress: Progress) -> None:
+    def give_up(self, errand: AdmittedRequest, progress: Progress) -> None:
         """Give the final answer to a request that will not be run, or not again."""
         reply = progress.reply
         ran = progress.ran
@@ -83,7 +83,7 @@
         exc = GatewayError(kind, progress.why, retry_after_ms=after)
         self.refuse(errand.call, reply, exc, progress)
 
-    def _not_run(self, errand: Errand, progress: Progress) -> tuple[ErrorKind, int]:
+    def _not_run(self, errand: AdmittedRequest, progress: Progress) -> tuple[ErrorKind, int]:
         """Return why nothing ran a request, and when its caller should come back."""
         now = self._clock.now()
         left_ms = errand.deadline_ms - now
@@ -120,7 +120,7 @@
             headers = (*headers, *hop_mark(progress, exc.retry_after_ms))
         reply.whole(answer.status, headers, close=exc.kind is ErrorKind.DRAINING)
 
-    def answered(self, errand: Errand, target: Target, progress: Progress) -> None:
+    def answered(self, errand: AdmittedRequest, target: Target, progress: Progress) -> None:
         """Count a good answer, and log why it was late if it was.
 
         A request that another VM handed over is judged there, where its objective is known.
@@ -147,11 +147,11 @@
             sends=progress.sends,
         )
 
-    def count(self, errand: Errand, outcome: str) -> None:
+    def count(self, errand: AdmittedRequest, outcome: str) -> None:
         """Count how a request ended."""
         self._counters.requests.labels(errand.route.name, outcome).inc()
 
-    def note(self, event: str, errand: Errand, target: Target | None, **fields: object) -> None:
+    def note(self, event: str, errand: AdmittedRequest, target: Target | None, **fields: object) -> None:
         """Log a decision about a request."""
         self._log.note(
             event,
--- a/src/hickorybeam/gateway/fleet.py
+++ b/src/hickorybeam/gateway/fleet.py
@@ -22,10 +22,10 @@
 from hickorybeam.gateway.feed import FeedService
 from hickorybeam.gateway.figures import OwnFigures, spread
 from hickorybeam.gateway.peers import STEADY_MS, YOUNG_MS, PeerTable
-from hickorybeam.gateway.place_words import Placed, Still, Told, Wanted
+from hickorybeam.gateway.placement_messages import PlacementResponse, HeldPlacements, PlacementUpdate, PlacementRequest
 from hickorybeam.gateway.registration import Registration
 from hickorybeam.gateway.tell import Audience, Tell
-from hickorybeam.gateway.who_places import WhoPlaces
+from hickorybeam.gateway.coordinator_ranking import CoordinatorRanking
 from hickorybeam.kernel import Service
 from hickorybeam.model.routing import GatewayVm
 from hickorybeam.policy.fleet_quota import FleetQuota
@@ -60,7 +60,7 @@
 __all__ = ("FleetService",)
 
 # All that VMs say to each other in datagrams.
-Word = Tell | Wanted | Placed | Told | Still
+Word = Tell | PlacementRequest | PlacementResponse | PlacementUpdate | HeldPlacements
 # Figures of servers that didn't change are told again after so many times.
 WHOLE_EVERY = 10
 
@@ -95,7 +95,7 @@
             power=cfg.vm.power,
         )
         self.peers = PeerTable(clock, self.me)
-        self.who_places = WhoPlaces(self.me, self.peers, self._stays)
+        self.coordinators = CoordinatorRanking(self.me, self.peers, self._stays)
         self._words: dict[type[Word], Callable[[Any], None]] = {Tell: self._take_word}
         # What this VM has at servers by places that others gave it.
         self.granted: Callable[[], Granted] = dict
@@ -256,7 +256,7 @@
             await self._clock.sleep(near_every_ms(len(self.peers.near())))
             now = self._clock.now()
             self.peers.prune()
-            self.who_places.look_again()
+            self.coordinators.invalidate()
             self._adapt()
             self.quota.reach(1 + self.peers.spending_together(), self.known(), now)
             heard = [it for it in self.peers.by_name.values() if self.peers.is_heard(it)]
--- a/src/hickorybeam/gateway/burden.py
+++ b/src/hickorybeam/gateway/in_flight.py
@@ -5,12 +5,12 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from hickorybeam.gateway.place_words import Ending
+from hickorybeam.gateway.placement_messages import SendStatus
 
 if TYPE_CHECKING:
     from hickorybeam.clock import Clock
-    from hickorybeam.gateway.line import Line
-    from hickorybeam.gateway.place_asking import Grant
+    from hickorybeam.gateway.service_queue import ServiceQueue
+    from hickorybeam.gateway.placement_client import Grant
     from hickorybeam.policy.server_choice import ServerStanding
 
 __all__ = ("Burden",)
@@ -30,7 +30,7 @@
     """
 
     clock: Clock
-    line: Line
+    line: ServiceQueue
     standing: ServerStanding
     given: bool
     size: int
@@ -60,31 +60,31 @@
         if self.grant is not None:
             self.grant.has_read()
 
-    def end(self, ending: Ending) -> None:
+    def end(self, ending: SendStatus) -> None:
         """Take it off its server, once."""
         if self.ended:
             return
         self.ended = True
-        if ending is Ending.ANSWERED and self.read_ms is not None:
+        if ending is SendStatus.ANSWERED and self.read_ms is not None:
             self.standing.pace.has_written(self.output, self.clock.now() - self.read_ms)
         self._add(-1, -self.reading, -self.size)
         self.line.departed()
         if self.grant is not None:
             self.grant.end(ending)
 
-    def told(self, ending: Ending) -> None:
+    def told(self, ending: SendStatus) -> None:
         """Take what the VM that sends it says of it."""
         match ending:
-            case Ending.READ:
+            case SendStatus.READ:
                 self.has_read()
                 return
-            case Ending.ANSWERED:
+            case SendStatus.ANSWERED:
                 self.standing.succeeded()
-            case Ending.FAILED:
+            case SendStatus.FAILED:
                 self.standing.failed()
-            case Ending.UNREACHABLE:
+            case SendStatus.UNREACHABLE:
                 self.standing.unreachable(self.clock.now())
-            case Ending.LEFT:
+            case SendStatus.LEFT:
                 pass
         self.end(ending)
 
--- a/src/hickorybeam/gateway/queueing.py
+++ b/src/hickorybeam/gateway/local_placement.py
@@ -4,29 +4,29 @@
 
 from typing import TYPE_CHECKING
 
-from hickorybeam.gateway.placing import Full
+from hickorybeam.gateway.target_selector import Full
 from hickorybeam.policy.come_back import bounded_ms, longest_wait_ms
 from hickorybeam.policy.wait_line import late_patience_ms, patience_ms
 
 if TYPE_CHECKING:
     from hickorybeam.clock import Clock
-    from hickorybeam.gateway.attempt import Errand, Target
-    from hickorybeam.gateway.line import Lines
-    from hickorybeam.gateway.placing import OpenTargets, Placing
+    from hickorybeam.gateway.attempt import AdmittedRequest, Target
+    from hickorybeam.gateway.service_queue import ServiceQueues
+    from hickorybeam.gateway.target_selector import OpenTargets, TargetSelector
     from hickorybeam.policy.wait_line import Place
 
-__all__ = ("Queueing",)
+__all__ = ("LocalPlacement",)
 
 
-class Queueing:
+class LocalPlacement:
     """Places requests by what this VM knows, its own and those of VMs that ask it to."""
 
-    def __init__(self, *, clock: Clock, lines: Lines, placing: Placing) -> None:
+    def __init__(self, *, clock: Clock, queues: ServiceQueues, selector: TargetSelector) -> None:
         self._clock = clock
-        self._lines = lines
-        self._placing = placing
+        self._lines = queues
+        self._placing = selector
 
-    async def place(self, errand: Errand, targets: OpenTargets) -> Target | Full | None:
+    async def place(self, errand: AdmittedRequest, targets: OpenTargets) -> Target | Full | None:
         """Return where it goes; ``Full`` if it found no room within what it may wait."""
         found = self._placing.choose(errand, targets)
         if not isinstance(found, Full):
@@ -36,7 +36,7 @@
             found = await self.wait(errand, targets, place)
         return self.at_last(errand, targets, found) if isinstance(found, Full) else found
 
-    def enter(self, errand: Errand, found: Full) -> Place | None:
+    def enter(self, errand: AdmittedRequest, found: Full) -> Place | None:
         """Take a place in line, or none where the wait would be longer than it may wait.
 
         :param found: why it was not placed at once.
@@ -48,7 +48,7 @@
         return self._lines.of(errand.service).policy.enter(errand.urgency, patience, now)
 
     async def wait(
-        self, errand: Errand, targets: OpenTargets, place: Place
+        self, errand: AdmittedRequest, targets: OpenTargets, place: Place
     ) -> Target | Full | None:
         """Wait in line for room."""
         line = self._lines.of(errand.service)
@@ -62,13 +62,13 @@
         finally:
             line.leave(place)
 
-    def at_last(self, errand: Errand, targets: OpenTargets, found: Full) -> Target | Full | None:
+    def at_last(self, errand: AdmittedRequest, targets: OpenTargets, found: Full) -> Target | Full | None:
         """Choose once more for one that need not wait any longer for being late."""
         if found.in_vain:
             return found
         return self._placing.choose(errand, targets.without_patience())
 
-    def come_back_ms(self, errand: Errand) -> int:
+    def come_back_ms(self, errand: AdmittedRequest) -> int:
         """Return when a caller for whom there is no room should come back."""
         now = self._clock.now()
         left_ms = errand.deadline_ms - now
@@ -77,7 +77,7 @@
         return bounded_ms(after, left_ms)
 
 
-def patience_of(errand: Errand, now_ms: int, *, late: bool) -> int:
+def patience_of(errand: AdmittedRequest, now_ms: int, *, late: bool) -> int:
     """Return how long a request may wait in line.
 
     :param late: it waits since it could only be late.
--- a/src/hickorybeam/gateway/place_asking.py
+++ b/src/hickorybeam/gateway/placement_client.py
@@ -12,16 +12,16 @@
 
 from hickorybeam.clock import MS_PER_SECOND
 from hickorybeam.gateway.attempt import ToPeer, ToServer
-from hickorybeam.gateway.place_words import Ending, Placed, Still, Told, Verdict, Wanted
-from hickorybeam.gateway.placing import Full, Nowhere
+from hickorybeam.gateway.placement_messages import SendStatus, PlacementResponse, HeldPlacements, PlacementUpdate, PlacementResult, PlacementRequest
+from hickorybeam.gateway.target_selector import Full, Nowhere
 from hickorybeam.gateway.tell import NOTHING, added
 
 if TYPE_CHECKING:
     from hickorybeam.clock import Clock
-    from hickorybeam.gateway.attempt import Errand, Target
+    from hickorybeam.gateway.attempt import AdmittedRequest, Target
     from hickorybeam.gateway.fleet import FleetService
     from hickorybeam.gateway.knowledge import Knowledge
-    from hickorybeam.gateway.placing import OpenTargets
+    from hickorybeam.gateway.target_selector import OpenTargets
     from hickorybeam.gateway.tell import Granted, ServerFigures
     from hickorybeam.policy.server_choice import ServerStanding
     from hickorybeam.telemetry import Counters
@@ -50,15 +50,15 @@
 class Question:
     """One request that wants a place, until it has one."""
 
-    answer: Placed | None = None
+    answer: PlacementResponse | None = None
     answered: anyio.Event = field(default_factory=anyio.Event)
 
-    def take(self, answer: Placed) -> None:
+    def take(self, answer: PlacementResponse) -> None:
         """Take an answer and wake who waits for it."""
         self.answer = answer
         self.answered.set()
 
-    async def within(self, ms: float) -> Placed | None:
+    async def within(self, ms: float) -> PlacementResponse | None:
         """Return the next answer, if one comes in time."""
         with anyio.move_on_after(ms / MS_PER_SECOND):
             await self.answered.wait()
@@ -86,9 +86,9 @@
         """Tell that its prompt is read."""
         running, _, size = self.figures
         self.figures = (running, 0, size)
-        self.asker.tell(self, Ending.READ)
+        self.asker.tell(self, SendStatus.READ)
 
-    def end(self, ending: Ending) -> None:
+    def end(self, ending: SendStatus) -> None:
         """Tell how its send ended."""
         self.asker.ended(self, ending)
 
@@ -106,14 +106,14 @@
         self._numbers = itertools.count(random.getrandbits(FIRST_NUMBER_BITS))
         self._questions: dict[int, Question] = {}
         self._grants: dict[int, Grant] = {}
-        self._ends: defaultdict[str, deque[tuple[int, Ending]]] = defaultdict(
+        self._ends: defaultdict[str, deque[tuple[int, SendStatus]]] = defaultdict(
             lambda: deque(maxlen=ENDS_TOLD)
         )
         self._silent: dict[str, int] = {}
         self._services: set[str] = set()
         self._asked = counters.counter("places", "Places asked for", ("answer",))
 
-    def applies(self, errand: Errand) -> bool:
+    def applies(self, errand: AdmittedRequest) -> bool:
         """Whether another VM places this request: prompts, where the region has several VMs."""
         return bool(errand.call.parts) and self.placer(errand.service) != self._fleet.me.name
 
@@ -124,7 +124,7 @@
             self._silent = {vm: until for vm, until in self._silent.items() if until > now}
         if len(self._silent) >= MOST_SILENT:
             return self._fleet.me.name
-        return self._fleet.who_places.placer(service, silent=self._silent)
+        return self._fleet.coordinators.coordinator(service, silent=self._silent)
 
     async def run(self) -> None:
         """Tell what is still held, until cancelled."""
@@ -137,9 +137,9 @@
         numbers = [*self._questions, *self._grants]
         for placer in {self.placer(service) for service in self._services}:
             if placer != self._fleet.me.name:
-                self._fleet.say(placer, Still(self._fleet.me.name, numbers))
+                self._fleet.say(placer, HeldPlacements(self._fleet.me.name, numbers))
 
-    async def place(self, errand: Errand, targets: OpenTargets) -> Target | Full | Nowhere | None:
+    async def place(self, errand: AdmittedRequest, targets: OpenTargets) -> Target | Full | Nowhere | None:
         """Ask where a request goes.
 
         :return: a target, or that there is none or no room; ``None`` if this VM has to decide
@@ -158,16 +158,16 @@
             del self._questions[number]
             if not done:
                 # Its caller has left, or nobody answered: a place that is given yet is nobody's.
-                self._end(placer, number, Ending.LEFT)
+                self._end(placer, number, SendStatus.LEFT)
 
     async def _answer(
-        self, placer: str, number: int, question: Question, errand: Errand, targets: OpenTargets
-    ) -> Placed | None:
+        self, placer: str, number: int, question: Question, errand: AdmittedRequest, targets: OpenTargets
+    ) -> PlacementResponse | None:
         unanswered, again_ms = 0, ASK_AGAIN_MS
         while unanswered < MOST_UNANSWERED:
             self._fleet.say(placer, self._wanted(number, errand, targets))
             answer = await question.within(again_ms)
-            while answer is not None and answer.verdict is Verdict.WAITS:
+            while answer is not None and answer.verdict is PlacementResult.WAITS:
                 unanswered, again_ms = 0, WAITING_AGAIN_MS
                 answer = await question.within(again_ms)
             if answer is not None:
@@ -178,9 +178,9 @@
         self._asked.labels("silent").inc()
         return None
 
-    def _wanted(self, number: int, errand: Errand, targets: OpenTargets) -> Wanted:
+    def _wanted(self, number: int, errand: AdmittedRequest, targets: OpenTargets) -> PlacementRequest:
         now, call = self._clock.now(), errand.call
-        return Wanted(
+        return PlacementRequest(
             vm=self._fleet.me.name,
             number=number,
             service=errand.service,
@@ -199,23 +199,23 @@
             here_only=targets.here_only,
         )
 
-    def _found(self, answer: Placed, placer: str, number: int) -> Target | Full | Nowhere | None:
+    def _found(self, answer: PlacementResponse, placer: str, number: int) -> Target | Full | Nowhere | None:
         match answer.verdict:
-            case Verdict.SERVER:
+            case PlacementResult.SERVER:
                 return self._granted(answer, placer, number)
-            case Verdict.OTHER_REGION:
+            case PlacementResult.OTHER_REGION:
                 peer = self._fleet.peers.by_name.get(answer.target)
                 return ToPeer(peer) if peer else None
-            case Verdict.FULL:
+            case PlacementResult.FULL:
                 return Full(answer.wait_ms, come_back_ms=round(answer.wait_ms))
             case _:
                 return Nowhere()
 
-    def _granted(self, answer: Placed, placer: str, number: int) -> Target | None:
+    def _granted(self, answer: PlacementResponse, placer: str, number: int) -> Target | None:
         standing = self._knowledge.standings.get(answer.target)
         if standing is None or not self._knowledge.takes_work(standing):
             # This VM knows something later of the server than the one that chose it.
-            self._end(placer, number, Ending.LEFT)
+            self._end(placer, number, SendStatus.LEFT)
             return None
         grant = Grant(
             asker=self,
@@ -228,17 +228,17 @@
         self._grants[number] = grant
         return ToServer(standing, grant)
 
-    def placed(self, word: Placed) -> None:
+    def placed(self, word: PlacementResponse) -> None:
         """Take an answer."""
         question = self._questions.get(word.number)
         if question is not None:
             question.take(word)
 
-    def tell(self, grant: Grant, ending: Ending) -> None:
+    def tell(self, grant: Grant, ending: SendStatus) -> None:
         """Tell how a request goes on."""
         self._say(grant.placer, [(grant.number, ending)])
 
-    def ended(self, grant: Grant, ending: Ending) -> None:
+    def ended(self, grant: Grant, ending: SendStatus) -> None:
         """Tell how a request's send ended."""
         if self._grants.pop(grant.number, None) is not None:
             self._end(grant.placer, grant.number, ending)
@@ -252,11 +252,11 @@
             figures[server] = added(figures.get(server, NOTHING), grant.figures)
         return found
 
-    def _end(self, placer: str, number: int, ending: Ending) -> None:
+    def _end(self, placer: str, number: int, ending: SendStatus) -> None:
         """Tell an end, and those before it once more."""
         ends = self._ends[placer]
         ends.append((number, ending))
         self._say(placer, list(ends))
 
-    def _say(self, placer: str, endings: list[tuple[int, Ending]]) -> None:
-        self._fleet.say(placer, Told(self._fleet.me.name, endings))
+    def _say(self, placer: str, endings: list[tuple[int, SendStatus]]) -> None:
+        self._fleet.say(placer, PlacementUpdate(self._fleet.me.name, endings))
--- a/src/hickorybeam/gateway/grants.py
+++ b/src/hickorybeam/gateway/placement_coordinator.py
@@ -6,9 +6,9 @@
 
 import anyio
 
-from hickorybeam.gateway.attempt import Errand, ToPeer, ToServer
-from hickorybeam.gateway.place_words import Ending, Placed, Verdict, Wanted
-from hickorybeam.gateway.placing import Full, OpenTargets
+from hickorybeam.gateway.attempt import AdmittedRequest, ToPeer, ToServer
+from hickorybeam.gateway.placement_messages import SendStatus, PlacementResponse, PlacementResult, PlacementRequest
+from hickorybeam.gateway.target_selector import Full, OpenTargets
 from hickorybeam.model.routing import PromptPart, RelayCall, Repeat, Route
 
 if TYPE_CHECKING:
@@ -16,14 +16,14 @@
 
     from hickorybeam.clock import Clock
     from hickorybeam.gateway.attempt import Target
-    from hickorybeam.gateway.burden import Burden
+    from hickorybeam.gateway.in_flight import Burden
     from hickorybeam.gateway.fleet import FleetService
-    from hickorybeam.gateway.place_words import Still, Told
-    from hickorybeam.gateway.placing import Placing
-    from hickorybeam.gateway.queueing import Queueing
+    from hickorybeam.gateway.placement_messages import HeldPlacements, PlacementUpdate
+    from hickorybeam.gateway.target_selector import TargetSelector
+    from hickorybeam.gateway.local_placement import LocalPlacement
     from hickorybeam.policy.wait_line import Place
 
-__all__ = ("Grants",)
+__all__ = ("PlacementCoordinator",)
 
 # A place whose end was told in a datagram that was lost comes free this long after the request's
 # deadline, in ms.
@@ -35,18 +35,18 @@
 Key = tuple[str, int]
 
 
-class Grants:
+class PlacementCoordinator:
     """Places given to other VMs of the region, by VM and number."""
 
     def __init__(
-        self, *, clock: Clock, fleet: FleetService, placing: Placing, queueing: Queueing
+        self, *, clock: Clock, fleet: FleetService, selector: TargetSelector, local_placement: LocalPlacement
     ) -> None:
         self._clock = clock
         self._fleet = fleet
-        self._placing = placing
-        self._queueing = queueing
+        self._placing = selector
+        self._queueing = local_placement
         self._burdens: dict[Key, tuple[Burden, int]] = {}
-        self._answers: dict[Key, tuple[Placed, int]] = {}
+        self._answers: dict[Key, tuple[PlacementResponse, int]] = {}
         self._waiting: dict[Key, anyio.CancelScope] = {}
         self._tasks: TaskGroup | None = None
 
@@ -57,7 +57,7 @@
             await self._clock.sleep(LOOK_EVERY_MS)
             self._tidy()
 
-    def wanted(self, word: Wanted) -> None:
+    def handle_request(self, word: PlacementRequest) -> None:
         """Answer a VM that wants a place for a request."""
         key = (word.vm, word.number)
         known = self._answers.get(key)
@@ -65,7 +65,7 @@
             self._fleet.say(word.vm, known[0])
             return
         if key in self._waiting:
-            self._fleet.say(word.vm, Placed(word.number, Verdict.WAITS))
+            self._fleet.say(word.vm, PlacementResponse(word.number, PlacementResult.WAITS))
             return
         errand, targets = errand_of(word, self._clock.now()), self._targets_of(word)
         found = self._placing.choose(errand, targets)
@@ -73,13 +73,13 @@
             place = self._queueing.enter(errand, found)
             if place is not None and self._tasks is not None:
                 self._waiting[key] = anyio.CancelScope()
-                self._fleet.say(word.vm, Placed(word.number, Verdict.WAITS))
+                self._fleet.say(word.vm, PlacementResponse(word.number, PlacementResult.WAITS))
                 self._tasks.start_soon(self._wait, key, errand, targets, place)
                 return
             found = self._queueing.at_last(errand, targets, found)
         self._answer(key, errand, found)
 
-    async def _wait(self, key: Key, errand: Errand, targets: OpenTargets, place: Place) -> None:
+    async def _wait(self, key: Key, errand: AdmittedRequest, targets: OpenTargets, place: Place) -> None:
         with self._waiting[key] as left:
             found = await self._queueing.wait(errand, targets, place)
         del self._waiting[key]
@@ -89,26 +89,26 @@
             found = self._queueing.at_last(errand, targets, found)
         self._answer(key, errand, found)
 
-    def _answer(self, key: Key, errand: Errand, found: Target | Full | None) -> None:
+    def _answer(self, key: Key, errand: AdmittedRequest, found: Target | Full | None) -> None:
         vm, number = key
         match found:
             case ToServer(standing):
                 burden = self._placing.begin(standing, errand, given=True)
                 self._burdens[key] = (burden, errand.deadline_ms + OVERDUE_MS)
-                answer = Placed(
-                    number, Verdict.SERVER, standing.server.id, burden.copy_from, burden.wait_ms
+                answer = PlacementResponse(
+                    number, PlacementResult.SERVER, standing.server.id, burden.copy_from, burden.wait_ms
                 )
             case ToPeer(peer):
-                answer = Placed(number, Verdict.OTHER_REGION, peer.vm.name)
+                answer = PlacementResponse(number, PlacementResult.OTHER_REGION, peer.vm.name)
             case Full():
                 after_ms = self._queueing.come_back_ms(errand)
-                answer = Placed(number, Verdict.FULL, wait_ms=after_ms)
+                answer = PlacementResponse(number, PlacementResult.FULL, wait_ms=after_ms)
             case None:
-                answer = Placed(number, Verdict.NOTHING)
+                answer = PlacementResponse(number, PlacementResult.NOTHING)
         self._answers[key] = (answer, errand.deadline_ms)
         self._fleet.say(vm, answer)
 
-    def _targets_of(self, word: Wanted) -> OpenTargets:
+    def _targets_of(self, word: PlacementRequest) -> OpenTargets:
         """Return the targets that are open to another VM's request, as seen from there."""
         peer = self._fleet.peers.by_name.get(word.vm)
         return OpenTargets(
@@ -119,7 +119,7 @@
             sent_from=peer.vm.data_centre if peer else "",
         )
 
-    def told(self, word: Told) -> None:
+    def handle_update(self, word: PlacementUpdate) -> None:
         """Take how requests go on that were given places."""
         for number, ending in word.endings:
             key = (word.vm, number)
@@ -131,27 +131,27 @@
                 if found[0].ended:
                     del self._burdens[key]
 
-    def still(self, word: Still) -> None:
+    def handle_held(self, word: HeldPlacements) -> None:
         """Free the places that a VM no longer holds, whose end was lost on the way."""
         held = set(word.numbers)
         known_by_ms = self._clock.now() - UNDER_WAY_MS
         for key, (burden, _) in tuple(self._burdens.items()):
             if key[0] == word.vm and key[1] not in held and burden.sent_ms < known_by_ms:
-                burden.end(Ending.LEFT)
+                burden.end(SendStatus.LEFT)
                 del self._burdens[key]
 
     def _tidy(self) -> None:
         """Free places of VMs that are gone, and those whose time is long over."""
         now = self._clock.now()
-        heard = set(self._fleet.who_places.serving())
+        heard = set(self._fleet.coordinators.serving_vms())
         for key, (burden, due) in tuple(self._burdens.items()):
             if due < now or key[0] not in heard:
-                burden.end(Ending.LEFT)
+                burden.end(SendStatus.LEFT)
                 del self._burdens[key]
         self._answers = {key: it for key, it in self._answers.items() if it[1] > now}
 
 
-def errand_of(word: Wanted, now_ms: int) -> Errand:
+def errand_of(word: PlacementRequest, now_ms: int) -> AdmittedRequest:
     """Return what decisions need of another VM's request."""
     route = Route(
         name="placed",
@@ -177,7 +177,7 @@
         output_tokens=word.output_tokens,
         parts=tuple(PromptPart(id_, tokens) for id_, tokens in word.parts),
     )
-    return Errand(
+    return AdmittedRequest(
         call=call,
         route=route,
         service=word.service,
--- a/src/hickorybeam/gateway/place_words.py
+++ b/src/hickorybeam/gateway/placement_messages.py
@@ -6,10 +6,10 @@
 
 import msgspec
 
-__all__ = ("Ending", "Placed", "Still", "Told", "Verdict", "Wanted")
+__all__ = ("SendStatus", "PlacementResponse", "HeldPlacements", "PlacementUpdate", "PlacementResult", "PlacementRequest")
 
 
-class Verdict(Enum):
+class PlacementResult(Enum):
     """What became of a request that wanted a place."""
 
     SERVER = "server"
@@ -19,7 +19,7 @@
     NOTHING = "nothing"
 
 
-class Ending(Enum):
+class SendStatus(Enum):
     """How far a placed request has come, or how its send ended."""
 
     READ = "read"
@@ -29,7 +29,7 @@
     LEFT = "left"
 
 
-class Wanted(msgspec.Struct, frozen=True, array_like=True, tag="wanted"):
+class PlacementRequest(msgspec.Struct, frozen=True, array_like=True, tag="wanted"):
     """A request that wants a place; said again with the same number until it is answered.
 
     ``gone_ms`` of its objective have passed, ``left_ms`` are left until its deadline. ``tried``
@@ -55,7 +55,7 @@
     here_only: bool
 
 
-class Placed(msgspec.Struct, frozen=True, array_like=True, tag="placed"):
+class PlacementResponse(msgspec.Struct, frozen=True, array_like=True, tag="placed"):
     """The answer. ``target`` is a server's id or the name of another region's VM.
 
     ``wait_ms`` is the wait that was foreseen there; where there is no room, when the caller
@@ -63,20 +63,20 @@
     """
 
     number: int
-    verdict: Verdict
+    verdict: PlacementResult
     target: str = ""
     copy_from: str | None = None
     wait_ms: float = 0.0
 
 
-class Told(msgspec.Struct, frozen=True, array_like=True, tag="told"):
+class PlacementUpdate(msgspec.Struct, frozen=True, array_like=True, tag="told"):
     """How requests that were placed go on, by number."""
 
     vm: str
-    endings: list[tuple[int, Ending]]
+    endings: list[tuple[int, SendStatus]]
 
 
-class Still(msgspec.Struct, frozen=True, array_like=True, tag="still"):
+class HeldPlacements(msgspec.Struct, frozen=True, array_like=True, tag="still"):
     """All places that a VM still holds or asks for, by number."""
 
     vm: str
--- a/src/hickorybeam/gateway/progress.py
+++ b/src/hickorybeam/gateway/progress.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from hickorybeam.gateway.attempt import ToPeer, ToServer
-from hickorybeam.gateway.events import EventCutter
+from hickorybeam.gateway.event_splitter import EventCutter
 
 if TYPE_CHECKING:
     from hickorybeam.gateway.attempt import Target
--- a/src/hickorybeam/gateway/relay.py
+++ b/src/hickorybeam/gateway/relay.py
@@ -10,15 +10,15 @@
 
 from hickorybeam.gateway.attempt import (
     HOP_ACCOUNT,
-    HOP_LEFT,
-    HOP_RESUME,
+    HOP_TIME_LEFT_MS,
+    HOP_RESUME_AFTER,
     HOP_SERVICE,
     HOP_URGENCY,
-    Errand,
+    AdmittedRequest,
 )
 from hickorybeam.gateway.feed import CHANGES_PATH, STATE_PATH, FeedService
 from hickorybeam.gateway.fleet import FleetService
-from hickorybeam.gateway.path import RequestPath, shutdown_of
+from hickorybeam.gateway.request_handler import RequestHandler, shutdown_times
 from hickorybeam.http1 import HttpServer, UpstreamPool, find
 from hickorybeam.kernel import Service
 from hickorybeam.model.routing import Repeat, Route
@@ -90,7 +90,7 @@
         if self._cfg.gateway is None:
             raise ValueError("settings have no section 'gateway'")
         self._gateway = self._cfg.gateway
-        self._path = RequestPath(
+        self._path = RequestHandler(
             cfg=self._gateway,
             clock=self._clock,
             counters=self._counters,
@@ -121,7 +121,7 @@
                     self._servers.append(server)
                 self._in_flight.set_function(lambda: self._callers.in_flight)
                 tg.start_soon(self._forecast)
-                tg.start_soon(self._path.place_for_others)
+                tg.start_soon(self._path.run_placement)
                 self._fleet.serve(caller_port=self._callers.port)
                 started()
         finally:
@@ -133,7 +133,7 @@
     def _listeners(self) -> tuple[tuple[Handler, socket.socket], ...]:
         cfg, bound = self._gateway, self._bound
         return (
-            (self._path.answer, socket_of(cfg.callers, bound.callers)),
+            (self._path.handle, socket_of(cfg.callers, bound.callers)),
             (self._hop, self._fleet.take_peer_socket()),
             (self._ready, socket_of(cfg.ready, bound.ready)),
             (self._directory, socket_of(cfg.directory, bound.directory)),
@@ -156,13 +156,13 @@
         """
         begun = self._clock.now()
         self._leaving = True
-        times = shutdown_of(self._gateway)
+        times = shutdown_times(self._gateway)
         end = begun + times.end_ms
         for server in self._servers:
             server.closing = True
         await self._fleet.leave()
         await self._until(begun + times.serve_on_ms)
-        self._path.take_until(round(end))
+        self._path.accept_until(round(end))
         await self._until(begun + times.accept_on_ms)
         self._path.drain()
         for server in self._servers:
@@ -200,7 +200,7 @@
         if errand is None:
             reply.whole(404)
             return
-        await self._path.serve(errand, reply, here_only=True)
+        await self._path.handle_admitted(errand, reply, local_only=True)
 
     def _changes(self, req: Incoming, reply: Reply) -> None:
         """Hand a VM that doesn't watch the store the changes that it lacks."""
@@ -245,7 +245,7 @@
 
     def _vms_of(self, region: str) -> RegionVms:
         """Sort a region's VMs by what they still take."""
-        times = shutdown_of(self._gateway)
+        times = shutdown_times(self._gateway)
         leaving = self._fleet.leaving_vms(region)
         return RegionVms(
             serving=self._fleet.region_vms(region),
@@ -276,16 +276,16 @@
     return bound_socket(host, bound_port or port)
 
 
-def errand_of(req: Incoming) -> Errand | None:
+def errand_of(req: Incoming) -> AdmittedRequest | None:
     """Read a request that another VM hands over; ``None`` if it is none."""
     service = find(req.headers, HOP_SERVICE)
-    left = find(req.headers, HOP_LEFT)
+    left = find(req.headers, HOP_TIME_LEFT_MS)
     if service is None or left is None or not left.isdigit():
         return None
     call = decode_call(req)
-    account, resume = find(req.headers, HOP_ACCOUNT), find(req.headers, HOP_RESUME)
+    account, resume = find(req.headers, HOP_ACCOUNT), find(req.headers, HOP_RESUME_AFTER)
     route = Route(name="hop", host="", prefix="/", repeat=Repeat.ONCE, targets=())
-    return Errand(
+    return AdmittedRequest(
         call=call,
         route=route,
         service=service.decode("latin-1"),
--- a/src/hickorybeam/gateway/path.py
+++ b/src/hickorybeam/gateway/request_handler.py
@@ -10,15 +10,15 @@
 from hickorybeam.errors import ErrorKind, GatewayError
 from hickorybeam.gateway.admission import Admission
 from hickorybeam.gateway.attempt import ToPeer, ToServer
-from hickorybeam.gateway.endings import Endings
-from hickorybeam.gateway.grants import Grants
-from hickorybeam.gateway.line import Lines
-from hickorybeam.gateway.place_asking import PlaceAsker
-from hickorybeam.gateway.place_words import Placed, Still, Told, Wanted
-from hickorybeam.gateway.placing import Full, Nowhere, OpenTargets, Placing
+from hickorybeam.gateway.final_responses import Endings
+from hickorybeam.gateway.placement_coordinator import PlacementCoordinator
+from hickorybeam.gateway.service_queue import ServiceQueues
+from hickorybeam.gateway.placement_client import PlaceAsker
+from hickorybeam.gateway.placement_messages import PlacementResponse, HeldPlacements, PlacementUpdate, PlacementRequest
+from hickorybeam.gateway.target_selector import Full, Nowhere, OpenTargets, TargetSelector
 from hickorybeam.gateway.progress import Progress, name_of
-from hickorybeam.gateway.queueing import Queueing
-from hickorybeam.gateway.sending import Sending
+from hickorybeam.gateway.local_placement import LocalPlacement
+from hickorybeam.gateway.sender import Sending
 from hickorybeam.model.routing import Repeat
 from hickorybeam.platform import decode_call
 from hickorybeam.policy.attempt_budget import AttemptBudget, RepeatBounds
@@ -26,7 +26,7 @@
 
 if TYPE_CHECKING:
     from hickorybeam.clock import Clock
-    from hickorybeam.gateway.attempt import Errand, Target
+    from hickorybeam.gateway.attempt import AdmittedRequest, Target
     from hickorybeam.gateway.feed import FeedService
     from hickorybeam.gateway.fleet import FleetService
     from hickorybeam.gateway.tell import RegionFigures
@@ -35,7 +35,7 @@
     from hickorybeam.telemetry import Counters
     from hickorybeam.telemetry.decisions import DecisionLog
 
-__all__ = ("RequestPath", "shutdown_of")
+__all__ = ("RequestHandler", "shutdown_times")
 
 # Sends of one request, those included that were surely not run.
 MOST_SENDS = 4
@@ -45,7 +45,7 @@
 STARTING_MS = 1_000
 
 
-class RequestPath:
+class RequestHandler:
     """Answers requests of callers, and those that other regions' VMs hand over."""
 
     def __init__(
@@ -67,24 +67,24 @@
         self._started_ms = clock.now()
         self._fleet = fleet
         self._budgets: dict[str, AttemptBudget] = {}
-        self._lines = Lines(clock)
+        self._lines = ServiceQueues(clock)
         self._admission = Admission(clock=clock, knowledge=feed.knowledge, quota=fleet.quota)
-        self._placing = Placing(
-            shutdown=shutdown_of(cfg),
+        self._placing = TargetSelector(
+            shutdown=shutdown_times(cfg),
             clock=clock,
             knowledge=feed.knowledge,
             fleet=fleet,
-            lines=self._lines,
+            queues=self._lines,
         )
         self._endings = Endings(
             clock=clock, counters=counters, feed=feed, placing=self._placing, log=log
         )
-        self._queueing = Queueing(clock=clock, lines=self._lines, placing=self._placing)
+        self._queueing = LocalPlacement(clock=clock, queues=self._lines, selector=self._placing)
         self._asker = PlaceAsker(
             clock=clock, counters=counters, fleet=fleet, knowledge=feed.knowledge
         )
-        self._grants = Grants(
-            clock=clock, fleet=fleet, placing=self._placing, queueing=self._queueing
+        self._grants = PlacementCoordinator(
+            clock=clock, fleet=fleet, selector=self._placing, local_placement=self._queueing
         )
         self._sending = Sending(
             clock=clock,
@@ -95,18 +95,18 @@
             endings=self._endings,
         )
 
-    async def place_for_others(self) -> None:
+    async def run_placement(self) -> None:
         """Give places to other VMs, and take those that they give, until cancelled."""
-        self._fleet.on_word(Wanted, self._grants.wanted)
-        self._fleet.on_word(Told, self._grants.told)
-        self._fleet.on_word(Still, self._grants.still)
-        self._fleet.on_word(Placed, self._asker.placed)
+        self._fleet.on_word(PlacementRequest, self._grants.handle_request)
+        self._fleet.on_word(PlacementUpdate, self._grants.handle_update)
+        self._fleet.on_word(HeldPlacements, self._grants.handle_held)
+        self._fleet.on_word(PlacementResponse, self._asker.placed)
         self._fleet.granted = self._asker.granted
         async with anyio.create_task_group() as tg:
             tg.start_soon(self._asker.run)
             await self._grants.run(tg)
 
-    async def answer(self, req: Incoming, reply: Reply) -> None:
+    async def handle(self, req: Incoming, reply: Reply) -> None:
         """Answer one request of a caller."""
         call = decode_call(req)
         if self._knowledge.config is None:
@@ -117,14 +117,14 @@
             self._endings.refuse(call, reply, exc)
             return
         self._budget(errand.service).earn(self._clock.now(), self._fleet.known())
-        await self.serve(errand, reply)
+        await self.handle_admitted(errand, reply)
 
-    async def serve(self, errand: Errand, reply: Reply, *, here_only: bool = False) -> None:
+    async def handle_admitted(self, errand: AdmittedRequest, reply: Reply, *, local_only: bool = False) -> None:
         """Run an admitted request within its deadline, until its caller leaves.
 
-        :param here_only: it came from another VM: one run, by a server of this region.
+        :param local_only: it came from another VM: one run, by a server of this region.
         """
-        progress = Progress(reply, here_only=here_only)
+        progress = Progress(reply, here_only=local_only)
         left_ms = errand.deadline_ms - self._clock.now()
         with anyio.CancelScope() as scope:
             reply.on_gone(scope.cancel)
@@ -134,12 +134,12 @@
                 progress.why = "deadline"
                 self._endings.give_up(errand, progress)
         reply.on_gone(None)
-        if not progress.ran and errand.account is not None and not here_only:
+        if not progress.ran and errand.account is not None and not local_only:
             self._fleet.quota.refund(errand.account, errand.cost, self._clock.now())
         if scope.cancelled_caught:
             self._counters.requests.labels(errand.route.name, "left").inc()
 
-    async def _attempts(self, errand: Errand, progress: Progress) -> None:
+    async def _attempts(self, errand: AdmittedRequest, progress: Progress) -> None:
         while (target := await self._next(errand, progress)) is not None:
             progress.sends += 1
             progress.tried.add(name_of(target))
@@ -152,7 +152,7 @@
                 self._endings.give_up(errand, progress)
                 return
 
-    async def _next(self, errand: Errand, progress: Progress) -> Target | None:
+    async def _next(self, errand: AdmittedRequest, progress: Progress) -> Target | None:
         """Return where to send it now; with ``None`` it has got its final answer."""
         if progress.onward is not None:
             target, progress.onward = progress.onward, None
@@ -166,7 +166,7 @@
             return None
         return found
 
-    async def _placed(self, errand: Errand, progress: Progress) -> Target | Full | None:
+    async def _placed(self, errand: AdmittedRequest, progress: Progress) -> Target | Full | None:
         """Return where it goes, as the VM says that places for the region, or as this one does."""
         began = self._clock.now()
         targets = self._open(errand, progress)
@@ -181,7 +181,7 @@
         finally:
             progress.waited_ms += self._clock.now() - began
 
-    def _leaves(self, target: Target, errand: Errand, progress: Progress) -> bool:
+    def _leaves(self, target: Target, errand: AdmittedRequest, progress: Progress) -> bool:
         """Whether a request leaves a target that has been silent for long.
 
         Only where a server of this region has room for it now and the budget allows it. With
@@ -206,7 +206,7 @@
             case ToServer():
                 return False
 
-    def _may_send(self, errand: Errand, progress: Progress) -> bool:
+    def _may_send(self, errand: AdmittedRequest, progress: Progress) -> bool:
         if progress.sends == 0:
             return True
         if progress.sends >= MOST_SENDS or progress.runs >= errand.route.max_attempts:
@@ -221,7 +221,7 @@
         self._counters.retries.labels("repeat").inc()
         return True
 
-    def _open(self, errand: Errand, progress: Progress) -> OpenTargets:
+    def _open(self, errand: AdmittedRequest, progress: Progress) -> OpenTargets:
         repeatable = errand.route.repeat is Repeat.IDEMPOTENT
         return OpenTargets(
             tried=progress.tried,
@@ -230,7 +230,7 @@
             here_only=progress.here_only,
         )
 
-    def _overloaded(self, errand: Errand, progress: Progress, found: Full) -> None:
+    def _overloaded(self, errand: AdmittedRequest, progress: Progress, found: Full) -> None:
         """Refuse a request for which there is no room in time, and say when there will be."""
         if progress.runs or progress.reply.started:
             self._endings.give_up(errand, progress)
@@ -254,11 +254,11 @@
     def reload(self, cfg: GatewaySettings) -> None:
         """Take over other bounds on repeats, and other times of a shutdown."""
         self._cfg = cfg
-        self._placing.shutdown = shutdown_of(cfg)
+        self._placing.shutdown = shutdown_times(cfg)
         for budget in self._budgets.values():
             budget.change(bounds_of(cfg))
 
-    def take_until(self, ends_ms: int) -> None:
+    def accept_until(self, ends_ms: int) -> None:
         """Take only requests whose deadline lies before the end of this process."""
         self._admission.ends_ms = ends_ms
 
@@ -267,7 +267,7 @@
         self._admission.draining = True
 
 
-def shutdown_of(cfg: GatewaySettings) -> Shutdown:
+def shutdown_times(cfg: GatewaySettings) -> Shutdown:
     """Return the times of a shutdown that the settings give."""
     return Shutdown(cfg.grace_s * MS_PER_SECOND)
 
--- a/src/hickorybeam/gateway/sending.py
+++ b/src/hickorybeam/gateway/sender.py
@@ -6,7 +6,7 @@
 
 from hickorybeam.clock import MS_PER_SECOND
 from hickorybeam.gateway.attempt import Attempt, NotSentError, SilentError, ToPeer, ToServer
-from hickorybeam.gateway.place_words import Ending
+from hickorybeam.gateway.placement_messages import SendStatus
 from hickorybeam.http1 import BrokenAnswerError
 from hickorybeam.platform import answer_headers
 from hickorybeam.policy.first_byte import first_byte_ms
@@ -15,11 +15,11 @@
     from collections.abc import Callable
 
     from hickorybeam.clock import Clock
-    from hickorybeam.gateway.attempt import Errand, Target
-    from hickorybeam.gateway.burden import Burden
-    from hickorybeam.gateway.endings import Endings
+    from hickorybeam.gateway.attempt import AdmittedRequest, Target
+    from hickorybeam.gateway.in_flight import Burden
+    from hickorybeam.gateway.final_responses import Endings
     from hickorybeam.gateway.knowledge import Knowledge
-    from hickorybeam.gateway.placing import Placing
+    from hickorybeam.gateway.target_selector import TargetSelector
     from hickorybeam.gateway.progress import Progress
     from hickorybeam.http1 import AnswerHead, UpstreamPool
     from hickorybeam.platform import AnswerFacts
@@ -40,7 +40,7 @@
         clock: Clock,
         counters: Counters,
         knowledge: Knowledge,
-        placing: Placing,
+        placing: TargetSelector,
         pool: UpstreamPool,
         endings: Endings,
     ) -> None:
@@ -52,7 +52,7 @@
         self._first_byte = counters.histogram("first_byte", "Time to the first byte", ("route",))
 
     async def send(
-        self, target: Target, errand: Errand, progress: Progress, *, leave: Callable[[], bool]
+        self, target: Target, errand: AdmittedRequest, progress: Progress, *, leave: Callable[[], bool]
     ) -> None:
         """Send once and take note of how it went; a good answer is passed on.
 
@@ -65,7 +65,7 @@
         copy_from = burden.copy_from if burden else None
         attempt = Attempt(self._pool, target, errand, copy_from=copy_from)
         progress.flying = True
-        ending = Ending.LEFT
+        ending = SendStatus.LEFT
         try:
             head, facts = await attempt.open(
                 self._clock.now(), patience_ms=patience_ms, leave=leave
@@ -76,7 +76,7 @@
             if standing is not None:
                 self._take_facts(standing, facts)
             await self._take_answer(attempt, head, facts, errand, progress, standing)
-            ending = Ending.FAILED if progress.failed else Ending.ANSWERED
+            ending = SendStatus.FAILED if progress.failed else SendStatus.ANSWERED
             progress.flying = False
             if progress.reply.done:
                 self._endings.answered(errand, target, progress)
@@ -86,7 +86,7 @@
             progress.why = str(exc)
             match target:
                 case _ if exc.unreachable:
-                    ending = Ending.UNREACHABLE
+                    ending = SendStatus.UNREACHABLE
                     self._unreachable(target, attempt)
                 case ToPeer(peer):
                     progress.refused_by(peer.vm.region, exc.come_back_ms)
@@ -102,26 +102,26 @@
                 burden.end(ending)
             attempt.close()
 
-    def _burden(self, target: Target, errand: Errand) -> Burden | None:
+    def _burden(self, target: Target, errand: AdmittedRequest) -> Burden | None:
         """Count a request at the server that it is sent to."""
         if not isinstance(target, ToServer):
             return None
         return self._placing.begin(target.standing, errand, grant=target.grant)
 
-    def _broke(self, exc: BrokenAnswerError, target: Target, attempt: Attempt) -> Ending:
+    def _broke(self, exc: BrokenAnswerError, target: Target, attempt: Attempt) -> SendStatus:
         match exc, target:
             case SilentError(), _:
                 self._unreachable(target, attempt)
-                return Ending.UNREACHABLE
+                return SendStatus.UNREACHABLE
             case _, ToServer(standing):
                 standing.failed()
-        return Ending.FAILED
+        return SendStatus.FAILED
 
-    def _observe_first_byte(self, errand: Errand) -> None:
+    def _observe_first_byte(self, errand: AdmittedRequest) -> None:
         took_ms = self._clock.now() - errand.call.arrived_ms
         self._first_byte.labels(errand.route.name).observe(took_ms / MS_PER_SECOND)
 
-    def _first_byte_ms(self, errand: Errand, progress: Progress) -> float | None:
+    def _first_byte_ms(self, errand: AdmittedRequest, progress: Progress) -> float | None:
         runs_left = errand.route.max_attempts - progress.runs - 1
         return first_byte_ms(errand.route, runs_left=runs_left, foreseen_ms=progress.foreseen_ms)
 
@@ -137,7 +137,7 @@
         attempt: Attempt,
         head: AnswerHead,
         facts: AnswerFacts,
-        errand: Errand,
+        errand: AdmittedRequest,
         progress: Progress,
         standing: ServerStanding | None,
     ) -> None:
@@ -167,7 +167,7 @@
         head: AnswerHead,
         facts: AnswerFacts,
         body: bytes,
-        errand: Errand,
+        errand: AdmittedRequest,
         progress: Progress,
     ) -> None:
         progress.runs += 1
@@ -180,7 +180,7 @@
         progress.pace.came(self._clock.now())
 
     async def _relay_stream(
-        self, attempt: Attempt, head: AnswerHead, errand: Errand, progress: Progress
+        self, attempt: Attempt, head: AnswerHead, errand: AdmittedRequest, progress: Progress
     ) -> None:
         reply, cutter = progress.reply, progress.cutter
         if not reply.started:
--- a/src/hickorybeam/gateway/line.py
+++ b/src/hickorybeam/gateway/service_queue.py
@@ -13,7 +13,7 @@
     from hickorybeam.clock import Clock
     from hickorybeam.policy.wait_line import Place
 
-__all__ = ("Line", "Lines")
+__all__ = ("ServiceQueue", "ServiceQueues")
 
 # Places also come free by what other VMs tell, which wakes nobody; so a waiting task looks
 # again after this long, in ms.
@@ -23,7 +23,7 @@
 WOKEN = 2
 
 
-class Line:
+class ServiceQueue:
     """One service's line on this VM."""
 
     def __init__(self, clock: Clock) -> None:
@@ -66,16 +66,16 @@
                 event.set()
 
 
-class Lines:
+class ServiceQueues:
     """The lines of all services on this VM."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._lines: dict[str, Line] = {}
+        self._lines: dict[str, ServiceQueue] = {}
 
-    def of(self, service: str) -> Line:
+    def of(self, service: str) -> ServiceQueue:
         """Return a service's line."""
         line = self._lines.get(service)
         if line is None:
-            line = self._lines[service] = Line(self._clock)
+            line = self._lines[service] = ServiceQueue(self._clock)
         return line
--- a/src/hickorybeam/gateway/placing.py
+++ b/src/hickorybeam/gateway/target_selector.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 
 from hickorybeam.gateway.attempt import ToPeer, ToServer
-from hickorybeam.gateway.burden import Burden
+from hickorybeam.gateway.in_flight import Burden
 from hickorybeam.policy.in_time import can_end
 from hickorybeam.policy.late_work import gives_way
 from hickorybeam.policy.server_choice import (
@@ -26,18 +26,18 @@
     from collections.abc import Collection, Iterable
 
     from hickorybeam.clock import Clock
-    from hickorybeam.gateway.attempt import Errand, Target
+    from hickorybeam.gateway.attempt import AdmittedRequest, Target
     from hickorybeam.gateway.fleet import FleetService
     from hickorybeam.gateway.knowledge import Knowledge
-    from hickorybeam.gateway.line import Lines
+    from hickorybeam.gateway.service_queue import ServiceQueues
     from hickorybeam.gateway.peers import RegionForecast
-    from hickorybeam.gateway.place_asking import Grant
+    from hickorybeam.gateway.placement_client import Grant
     from hickorybeam.gateway.tell import RegionFigures
     from hickorybeam.model.routing import RelayCall
     from hickorybeam.policy.cold_limit import ColdLimit
     from hickorybeam.policy.shutdown import Shutdown
 
-__all__ = ("Full", "Nowhere", "OpenTargets", "Placing", "size_of")
+__all__ = ("Full", "Nowhere", "OpenTargets", "TargetSelector", "size_of")
 
 # The way to another region and back, in ms, and by how much its wait has to be shorter.
 REGION_WAY_MS = 160.0
@@ -94,7 +94,7 @@
         return replace(self, late_waits=False)
 
 
-class Placing:
+class TargetSelector:
     """Chooses targets by what this VM knows now.
 
     :param shutdown: what VMs that shut down still take.
@@ -107,18 +107,18 @@
         clock: Clock,
         knowledge: Knowledge,
         fleet: FleetService,
-        lines: Lines,
+        queues: ServiceQueues,
     ) -> None:
         self.shutdown = shutdown
         self._clock = clock
         self._knowledge = knowledge
         self._fleet = fleet
-        self._lines = lines
+        self._lines = queues
         self._rng = random.Random()
         self._recent: defaultdict[str, RecentWork] = defaultdict(RecentWork)
         self._nothing_since: dict[str, int] = {}
 
-    def choose(self, errand: Errand, targets: OpenTargets) -> Target | Full | None:
+    def choose(self, errand: AdmittedRequest, targets: OpenTargets) -> Target | Full | None:
         """Pick a server of this region, or a VM of another one whose wait is much shorter."""
         now = self._clock.now()
         found = self._chosen(errand, targets, now)
@@ -132,7 +132,7 @@
         """Return for how long nothing has been found that could take a service's requests."""
         return now_ms - self._nothing_since.get(service, now_ms)
 
-    def _chosen(self, errand: Errand, targets: OpenTargets, now: int) -> Target | Full | None:
+    def _chosen(self, errand: AdmittedRequest, targets: OpenTargets, now: int) -> Target | Full | None:
         here: ServerStanding | Full | None = None
         if targets.here_only or self._allowed(errand, self._fleet.me.region):
             here = self._choose_here(errand, targets, now)
@@ -149,13 +149,13 @@
             self._cold_limit(here, now).take(now)
         return ToServer(here)
 
-    def _cost_here(self, here: ServerStanding | Full, errand: Errand, now_ms: int) -> float:
+    def _cost_here(self, here: ServerStanding | Full, errand: AdmittedRequest, now_ms: int) -> float:
         if isinstance(here, Full):
             return here.wait_ms
         call = errand.call
         return cost_ms(here, missing_of(here, call.parts, call.prompt_tokens), now_ms)
 
-    def _in_time(self, standing: ServerStanding, errand: Errand, now_ms: int) -> bool:
+    def _in_time(self, standing: ServerStanding, errand: AdmittedRequest, now_ms: int) -> bool:
         """Whether a server could answer a request before its deadline."""
         call, pace = errand.call, standing.pace
         to_read = standing.to_read() + missing_of(standing, call.parts, call.prompt_tokens)
@@ -165,7 +165,7 @@
             writing_ms=pace.writing_ms(call.output_tokens),
         )
 
-    def _in_time_away(self, errand: Errand, now_ms: int) -> bool:
+    def _in_time_away(self, errand: AdmittedRequest, now_ms: int) -> bool:
         """Whether another region could answer a request before its deadline, if it is idle."""
         own = errand.call.parts[-1].tokens if errand.call.parts else errand.call.prompt_tokens
         reading_ms = own / FIRST_READ_TOKENS_PER_MS
@@ -176,7 +176,7 @@
         )
 
     def _choose_here(
-        self, errand: Errand, targets: OpenTargets, now_ms: int
+        self, errand: AdmittedRequest, targets: OpenTargets, now_ms: int
     ) -> ServerStanding | Full | None:
         usable = self._usable(errand.service, now_ms)
         fresh = [it for it in usable if it.server.id not in targets.tried]
@@ -201,7 +201,7 @@
         return self._unless_late(found, errand, now_ms)
 
     def _unless_late(
-        self, standing: ServerStanding, errand: Errand, now_ms: int
+        self, standing: ServerStanding, errand: AdmittedRequest, now_ms: int
     ) -> ServerStanding | Full:
         """Return the server, or for how long a prompt that can only be late would wait there."""
         call, pace = errand.call, standing.pace
@@ -220,7 +220,7 @@
     def begin(
         self,
         standing: ServerStanding,
-        errand: Errand,
+        errand: AdmittedRequest,
         *,
         given: bool = False,
         grant: Grant | None = None,
@@ -257,7 +257,7 @@
         self._remember(standing, errand, now)
         return burden
 
-    def _remember(self, standing: ServerStanding, errand: Errand, now_ms: int) -> None:
+    def _remember(self, standing: ServerStanding, errand: AdmittedRequest, now_ms: int) -> None:
         """Take note of the parts that a server holds from now on."""
         parts = errand.call.parts
         config = self._knowledge.config
@@ -273,7 +273,7 @@
         VMs of a region get about as much each, since callers choose them at random. One that
         places for the others knows what they send.
         """
-        if self._fleet.who_places.places(service):
+        if self._fleet.coordinators.is_coordinator(service):
             return 0.0
         return self._recent[service].rate(now_ms) * self._fleet.region_lag_ms
 
@@ -291,13 +291,13 @@
         return found
 
     def _may_warm(self, standing: ServerStanding, now_ms: int) -> bool:
-        owners = self._fleet.who_places.warming(standing.server)
+        owners = self._fleet.coordinators.cold_server_senders(standing.server)
         return self._fleet.me.name in owners and self._cold_limit(standing, now_ms).ready(now_ms)
 
     def _cold_limit(self, standing: ServerStanding, now_ms: int) -> ColdLimit:
         return self._knowledge.cold_limit(standing.server, now_ms)
 
-    def _choose_away(self, errand: Errand, targets: OpenTargets) -> tuple[ToPeer, float] | None:
+    def _choose_away(self, errand: AdmittedRequest, targets: OpenTargets) -> tuple[ToPeer, float] | None:
         found = self._elsewhere(errand, targets, self._fleet.elsewhere(errand.service))
         if not found:
             found = self._elsewhere(errand, targets, self._finishing(errand))
@@ -311,7 +311,7 @@
         return ToPeer(pick.peer), pick.wait_ms + reading_ms + others_ms + REGION_WAY_MS
 
     def _elsewhere(
-        self, errand: Errand, targets: OpenTargets, told: Iterable[RegionForecast]
+        self, errand: AdmittedRequest, targets: OpenTargets, told: Iterable[RegionForecast]
     ) -> list[RegionForecast]:
         """Return those other regions' VMs that a request may go to."""
         return [
@@ -322,7 +322,7 @@
             and it.peer.vm.region not in targets.refused
         ]
 
-    def _finishing(self, errand: Errand) -> list[RegionForecast]:
+    def _finishing(self, errand: AdmittedRequest) -> list[RegionForecast]:
         """Return VMs of other regions that shut down and surely end a request before they do.
 
         While a region's VMs are replaced in turn, all of them may be shutting down. Requests that
@@ -336,7 +336,7 @@
             if self.shutdown.finishes(since_ms=now - it.peer.leaving_since_ms, left_ms=left_ms)
         ]
 
-    def _allowed(self, errand: Errand, region: str) -> bool:
+    def _allowed(self, errand: AdmittedRequest, region: str) -> bool:
         homes = [errand.route.homes]
         config = self._knowledge.config
         terms = config.accounts.get(errand.account or "") if config else None
@@ -344,7 +344,7 @@
             homes.append(terms.homes)
         return all(not home or region in home for home in homes)
 
-    def copy_from(self, standing: ServerStanding | None, errand: Errand) -> str | None:
+    def copy_from(self, standing: ServerStanding | None, errand: AdmittedRequest) -> str | None:
         """Return the address of a server from which a prompt's shared parts can be copied."""
         parts = errand.call.parts
         if standing is None or len(parts) < 2 or not standing.memory.missing(parts[:-1]):
--- a/src/hickorybeam/gateway/asking.py
+++ b/src/hickorybeam/gateway/vm_client.py
@@ -15,7 +15,7 @@
     from hickorybeam.clock import Clock
     from hickorybeam.http1.pool import Address
 
-__all__ = ("VmAsker",)
+__all__ = ("VmClient",)
 
 OK = 200
 # A VM that is there answers from memory within some ms; one in another region within 200.
@@ -23,7 +23,7 @@
 CONNECT_MS = 300
 
 
-class VmAsker:
+class VmClient:
     """Asks other VMs, each time on a new connection: an old one may have gone silent."""
 
     def __init__(self, clock: Clock) -> None:
--- a/tests/steps/front/callers_steps.py
+++ b/tests/steps/front/callers_steps.py
@@ -12,7 +12,7 @@
 
 from hickorybeam.model import ConfigState, ObjectRef, key_digest
 from hickorybeam.standins.http import Fault, FaultKind
-from support.starved import OwnTime
+from support.stopwatch import Stopwatch
 
 CHAT = b'{"model":"small","messages":[{"role":"user","content":"hello prompt"}],"max_tokens":4}'
 HEAD = f"POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\nauthorization: Bearer {SECRET}\r\n"
@@ -153,9 +153,9 @@
 
 @when("a caller connects to the front and stays silent")
 def step_silent(context):
-    took = OwnTime()
+    took = Stopwatch()
     context.raw = read_all(connect(context))
-    context.took_ms = took.passed_ms()
+    context.took_ms = took.elapsed_ms()
 
 
 @when("{count:d} callers hold streams open at the front")
--- a/tests/steps/gateway/gateway_steps.py
+++ b/tests/steps/gateway/gateway_steps.py
@@ -19,7 +19,7 @@
 from hickorybeam.settings import load_settings
 from hickorybeam.standins.deployment import HOST, KEYS, caller_headers, first_config
 from hickorybeam.store import KeyValue, Put, WatchBatch
-from support.gateway import drop_key, ran, small_gateway, withdraw_key
+from support.gateway import remove_account, executed_requests, small_gateway, withdraw_key
 
 BODY = b"{}"
 
@@ -273,12 +273,12 @@
 
 @then("no server ran anything")
 def step_none_ran(context):
-    assert ran(context.rig) == []
+    assert executed_requests(context.rig) == []
 
 
 @then('"{service}" ran {count:d} requests')
 def step_ran(context, service, count):
-    assert len(ran(context.rig, service)) == count, ran(context.rig, service)
+    assert len(executed_requests(context.rig, service)) == count, executed_requests(context.rig, service)
 
 
 @then('server "{name}" ran {count:d} requests')
@@ -293,7 +293,7 @@
 
 @then('the server was told account "{name}" once and no key')
 def step_told(context, name):
-    headers = ran(context.rig)[0].headers
+    headers = executed_requests(context.rig)[0].headers
     told = [value for key, value in headers if key == b"x-hickorybeam-tenant"]
     assert told == [name.encode()], told
     assert not any(key == b"authorization" for key, _ in headers)
@@ -445,7 +445,7 @@
     async def compact():
         rig = context.rig
         store = rig.app.stand_in.store
-        drop_key(rig, name)
+        remove_account(rig, name)
         # Written with no word to the watches, as while they hear nothing.
         store.txn((), (Put("op/config", msgspec.json.encode(rig.config)),))
         store.compact()
@@ -630,7 +630,7 @@
 @then('at most {limit:d} tokens of "{name}" ran')
 def step_spent(context, limit, name):
     name_header = (b"x-hickorybeam-tenant", name.encode())
-    of_account = [it for it in ran(context.rig, "model") if name_header in it.headers]
+    of_account = [it for it in executed_requests(context.rig, "model") if name_header in it.headers]
     spent = len(of_account) * context.tokens
     assert 0 < spent <= limit, spent
 
@@ -682,7 +682,7 @@
         answered += reply.status == 200
     # What ran was answered: no connection was closed on a request that a server had.
     assert answered > 0
-    assert len(ran(context.rig, "books")) == answered
+    assert len(executed_requests(context.rig, "books")) == answered
 
 
 @when('a caller of "{key}" asks "{vm}" for a prompt of parts "{parts}"')
@@ -708,7 +708,7 @@
 
 @then("no server got the prompt")
 def step_no_server(context):
-    assert not ran(context.rig, "model")
+    assert not executed_requests(context.rig, "model")
     assert not any(it.arrivals for it in context.rig.servers.values() if it.service == "model")
 
 
@@ -978,7 +978,7 @@
 
 @then('no request of service "{service}" ran')
 def step_service_idle(context, service):
-    assert not ran(context.rig, service), ran(context.rig, service)
+    assert not executed_requests(context.rig, service), executed_requests(context.rig, service)
 
 
 @given('nothing listens any more where server "{name}" is')
--- a/tests/steps/gateway/line_steps.py
+++ b/tests/steps/gateway/line_steps.py
@@ -4,7 +4,7 @@
 from behave import given, then, when
 
 from hickorybeam.clock import SystemClock
-from hickorybeam.gateway.line import Line
+from hickorybeam.gateway.service_queue import ServiceQueue
 
 
 async def wait(context, place):
@@ -20,7 +20,7 @@
 @given("a line in which {count:d} requests wait for {ms:d} ms")
 def step_line(context, count, ms):
     clock = SystemClock()
-    context.line, context.looks, context.pauses = Line(clock), [], 0
+    context.line, context.looks, context.pauses = ServiceQueue(clock), [], 0
     context.ended, context.left = {}, {}
     real = context.line.pause
 
--- a/tests/steps/gateway/placing_steps.py
+++ b/tests/steps/gateway/placing_steps.py
@@ -8,8 +8,8 @@
 from behave import given, then, when
 
 from hickorybeam.clock import SystemClock
-from hickorybeam.gateway.place_words import Placed, Still, Told, Wanted
-from support.gateway import ran, small_gateway
+from hickorybeam.gateway.placement_messages import PlacementResponse, HeldPlacements, PlacementUpdate, PlacementRequest
+from support.gateway import executed_requests, small_gateway
 
 LEAVES_AFTER_S = 0.004
 MODEL = "model"
@@ -36,12 +36,12 @@
 
     def agreed():
         return (
-            len({fleet.who_places.placer(service) for fleet in fleets}) == 1
-            and sum(fleet.who_places.places(service) for fleet in fleets) == 1
+            len({fleet.coordinators.coordinator(service) for fleet in fleets}) == 1
+            and sum(fleet.coordinators.is_coordinator(service) for fleet in fleets) == 1
         )
 
     context.call(lambda: rig.until(agreed))
-    context.placer = fleets[0].who_places.placer(service)
+    context.placer = fleets[0].coordinators.coordinator(service)
 
 
 async def ask(context, vm, number):
@@ -85,9 +85,9 @@
     context.by_vm = {}
     numbers = itertools.count(1)
     for vm in context.rig.vms:
-        known = {it.request_id for it in ran(context.rig, MODEL)}
+        known = {it.request_id for it in executed_requests(context.rig, MODEL)}
         context.call(ask_in_turn, context, vm, [next(numbers) for _ in range(count)])
-        context.by_vm[vm] = {it.request_id for it in ran(context.rig, MODEL)} - known
+        context.by_vm[vm] = {it.request_id for it in executed_requests(context.rig, MODEL)} - known
 
 
 @then("each prompt ran in the data centre of the VM that was asked")
@@ -119,7 +119,7 @@
 
 @when("the VM that would be the last to place hears nobody any more")
 def step_deaf(context):
-    name = context.deaf = context.rig.vms[context.placer].fleet.who_places.order(MODEL)[-1]
+    name = context.deaf = context.rig.vms[context.placer].fleet.coordinators.ranking(MODEL)[-1]
     context.rig.vms[name].fleet._transport.get_protocol()._receive = lambda data: None
 
 
@@ -142,7 +142,7 @@
 
     def lossy(say):
         def said(vm, word):
-            if not isinstance(word, Wanted | Placed | Told | Still) or next(numbers) % 3:
+            if not isinstance(word, PlacementRequest | PlacementResponse | PlacementUpdate | HeldPlacements) or next(numbers) % 3:
                 say(vm, word)
 
         return said
@@ -156,7 +156,7 @@
     statuses = [found.status for found, _ in context.answers]
     assert statuses == [200] * context.asked, statuses
     assert all(found.whole for found, _ in context.answers)
-    ids = [it.request_id for it in ran(context.rig, MODEL)]
+    ids = [it.request_id for it in executed_requests(context.rig, MODEL)]
     assert len(ids) == len(set(ids)) == context.asked, len(ids)
 
 
@@ -203,7 +203,7 @@
         await rig.until(lambda: all(vm.knowledge.is_cold("m1", clock.now()) for vm in vms))
 
     context.call(cold)
-    context.before = len(ran(rig, MODEL))
+    context.before = len(executed_requests(rig, MODEL))
 
 
 @when("callers ask every VM for prompts during {ms:d} ms")
@@ -226,4 +226,4 @@
 
 @then("the cold server got at least {least:d} and at most {most:d} of them")
 def step_cold_got(context, least, most):
-    assert least <= len(ran(context.rig, MODEL)) - context.before <= most
+    assert least <= len(executed_requests(context.rig, MODEL)) - context.before <= most
--- a/tests/steps/peers/silent_steps.py
+++ b/tests/steps/peers/silent_steps.py
@@ -16,7 +16,7 @@
 from hickorybeam.settings import PeerSettings
 from hickorybeam.standins import relay
 from support.peer_nodes import ECHO, PLAIN, Node, Words, collect, enter, make_call
-from support.starved import OwnTime
+from support.stopwatch import Stopwatch
 
 SILENT_MS = 400
 # Shorter than the pings take, so that it is the failed request that gives the connection up.
@@ -77,9 +77,9 @@
 
 def timed(context, call):
     async def run():
-        took = OwnTime()
+        took = Stopwatch()
         got = await collect(context.a.peers.forward(call, context.target))
-        return *got, round(took.passed_ms())
+        return *got, round(took.elapsed_ms())
 
     context.parts, context.error, context.took_ms = context.call(run)
 
@@ -98,17 +98,17 @@
 def step_goes_silent(context):
     async def run():
         got = []
-        took = OwnTime()
+        took = Stopwatch()
         try:
             async with aclosing(context.a.peers.forward(make_call(), context.target)) as parts:
                 async for part in parts:
                     got.append(part)
                     if isinstance(part, AnswerChunk):
                         await context.relay.drop_bytes_of_open()
-                        took = OwnTime()
+                        took = Stopwatch()
         except GatewayError as exc:
             context.error = exc
-        context.took_ms = round(took.passed_ms())
+        context.took_ms = round(took.elapsed_ms())
         context.parts = got
 
     context.call(run)
--- a/tests/support/gateway.py
+++ b/tests/support/gateway.py
@@ -34,7 +34,7 @@
         yield fleet
 
 
-def ran(fleet, service=None):
+def executed_requests(fleet, service=None):
     """Return all requests that ran, at every server of a service."""
     return [
         it
@@ -44,7 +44,7 @@
     ]
 
 
-def drop_key(fleet, name, *, version=None):
+def remove_account(fleet, name, *, version=None):
     """Take an account and its key out of the next configuration, which is not written yet.
 
     :param version: its number; the next one if left out.
@@ -55,5 +55,5 @@
 
 def withdraw_key(fleet, name, *, version=None):
     """Write a configuration without an account's key, as the operator does."""
-    drop_key(fleet, name, version=version)
+    remove_account(fleet, name, version=version)
     fleet.configure()
--- a/tests/support/starved.py
+++ b/tests/support/stopwatch.py
@@ -9,7 +9,7 @@
 NS_PER_MS = 1_000_000
 
 
-class OwnTime:
+class Stopwatch:
     """Measures a duration from its making on, in ms.
 
     Upper bounds of durations hold for a process that gets its turns. The kernel counts how long
@@ -21,7 +21,7 @@
         self._begun = time.monotonic()
         self._waited = waits_ms()
 
-    def passed_ms(self) -> float:
+    def elapsed_ms(self) -> float:
         """Return the duration so far."""
         took_ms = (time.monotonic() - self._begun) * 1000
         now = waits_ms()
