--- a/bench/placing_cost.py
+++ b/bench/placing_cost.py
@@ -14,9 +14,9 @@
 import msgspec
 
 from hickorybeam.clock import SystemClock
-from hickorybeam.gateway.fleet import Word
+from hickorybeam.gateway.fleet import PeerMessage
 from hickorybeam.gateway.grants import Grants
-from hickorybeam.gateway.knowledge import Knowledge
+from hickorybeam.gateway.routing_state import RoutingState
 from hickorybeam.gateway.line import Lines
 from hickorybeam.gateway.place_words import Ending, Told, Wanted
 from hickorybeam.gateway.placing import Placing
@@ -39,7 +39,7 @@
 
 
 def cost_ms(servers: int) -> float:
-    clock, knowledge = SystemClock(), Knowledge()
+    clock, routing_state = SystemClock(), RoutingState()
     for number in range(servers):
         server = RegisteredServer(
             id=f"i-{number:010x}",
@@ -49,31 +49,31 @@
             data_centre="d",
             slots=SLOTS,
         )
-        knowledge.take_server(server, clock.now())
+        routing_state.update_server(server, clock.now())
     fleet = SimpleNamespace(
-        me=SimpleNamespace(name="v0", region="r", data_centre="d"),
-        holders=PrefixHolders(),
-        is_here=lambda data_centre: True,
-        region_lag_ms=0.0,
+        own_vm=SimpleNamespace(name="v0", region="r", data_centre="d"),
+        prefix_holders=PrefixHolders(),
+        in_own_region=lambda data_centre: True,
+        report_lag_ms=0.0,
         who_places=SimpleNamespace(
             places=lambda service: True, warming=lambda server: [], serving=lambda: ["v0"]
         ),
-        elsewhere=lambda service, leaving=False: [],
-        say=lambda vm, word: msgspec.msgpack.encode(word),
+        remote_candidates=lambda service, leaving=False: [],
+        send_message=lambda vm, word: msgspec.msgpack.encode(word),
     )
     lines = Lines(clock)
     placing = Placing(
-        shutdown=Shutdown(8_000), clock=clock, knowledge=knowledge, fleet=fleet, lines=lines
+        shutdown=Shutdown(8_000), clock=clock, routing_state=routing_state, fleet=fleet, lines=lines
     )
     queueing = Queueing(clock=clock, lines=lines, placing=placing)
     grants = Grants(clock=clock, fleet=fleet, placing=placing, queueing=queueing)
     words = [msgspec.msgpack.encode(question(number)) for number in range(PROMPTS)]
     began = time.process_time()
     for number, word in enumerate(words):
-        grants.wanted(msgspec.msgpack.decode(word, type=Word))
+        grants.wanted(msgspec.msgpack.decode(word, type=PeerMessage))
         for ending in (Ending.READ, Ending.ANSWERED):
             told = msgspec.msgpack.encode(Told("v1", [(number, ending)]))
-            grants.told(msgspec.msgpack.decode(told, type=Word))
+            grants.told(msgspec.msgpack.decode(told, type=PeerMessage))
     return (time.process_time() - began) * 1_000 / PROMPTS
 
 
--- a/src/hickorybeam/demo/platform.py
+++ b/src/hickorybeam/demo/platform.py
@@ -30,7 +30,7 @@
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator, Callable
 
-    from hickorybeam.gateway.knowledge import Knowledge
+    from hickorybeam.gateway.routing_state import RoutingState
     from hickorybeam.http1 import RawHeaders
     from hickorybeam.kernel import Kernel
 
@@ -83,9 +83,9 @@
         self.ended = anyio.Event()
 
     @property
-    def knowledge(self) -> Knowledge:
+    def routing_state(self) -> RoutingState:
         """What it knows."""
-        return self.feed.knowledge
+        return self.feed.routing_state
 
     @property
     def ports(self) -> Ports:
@@ -153,16 +153,16 @@
         await self.until(lambda: all(self._settled(vm) for vm in self.vms.values()))
 
     def _settled(self, vm: RunningVm) -> bool:
-        config = vm.knowledge.config
+        config = vm.routing_state.config
         return (
             config is not None
             and config.version >= self.config["version"]
-            and set(self.servers) <= set(vm.knowledge.standings)
-            and vm.fleet.heard() == len(self.vms)
+            and set(self.servers) <= set(vm.routing_state.server_states)
+            and vm.fleet.live_vm_count() == len(self.vms)
             and all(
                 "model" in (it.forecasts or {})
                 for it in vm.fleet.peers.by_name.values()
-                if it.vm.region != vm.fleet.me.region
+                if it.vm.region != vm.fleet.own_vm.region
             )
         )
 
--- a/src/hickorybeam/gateway/admission.py
+++ b/src/hickorybeam/gateway/admission.py
@@ -14,7 +14,7 @@
 
 if TYPE_CHECKING:
     from hickorybeam.clock import Clock
-    from hickorybeam.gateway.knowledge import Knowledge
+    from hickorybeam.gateway.routing_state import RoutingState
     from hickorybeam.model.routing import AccountTerms, RelayCall, Route
     from hickorybeam.policy.fleet_quota import FleetQuota
 
@@ -37,9 +37,9 @@
     grace period would be cut in its middle, by a VM that had known better.
     """
 
-    def __init__(self, *, clock: Clock, knowledge: Knowledge, quota: FleetQuota) -> None:
+    def __init__(self, *, clock: Clock, routing_state: RoutingState, quota: FleetQuota) -> None:
         self._clock = clock
-        self._knowledge = knowledge
+        self._routing_state = routing_state
         self._quota = quota
         self._rng = random.Random()
         self._started_ms = clock.now()
@@ -51,12 +51,12 @@
 
         :raises GatewayError: it is refused.
         """
-        config = self._knowledge.config
+        config = self._routing_state.config
         if config is None:
             raise GatewayError(ErrorKind.NOT_READY, retry_after_ms=self._ready_in_ms(call))
         if self.draining:
             raise GatewayError(ErrorKind.DRAINING, retry_after_ms=LEAVING_COME_BACK_MS)
-        route = self._knowledge.table.match(call.host, call.path)
+        route = self._routing_state.route_table.match(call.host, call.path)
         if route is None:
             raise GatewayError(ErrorKind.ROUTE_UNKNOWN)
         needs_key = config.with_accounts and not route.public
@@ -84,7 +84,7 @@
         )
 
     def _account(self, call: RelayCall) -> AccountTerms:
-        config = self._knowledge.config
+        config = self._routing_state.config
         if config is None or call.key is None:
             raise GatewayError(ErrorKind.KEY_MISSING)
         name = config.keys.get(key_digest(call.key))
--- a/src/hickorybeam/gateway/cold_asking.py
+++ b/src/hickorybeam/gateway/cold_health_checks.py
@@ -25,14 +25,14 @@
     from hickorybeam.settings import Settings
     from hickorybeam.telemetry import Counters
 
-__all__ = ("ColdAskingService",)
+__all__ = ("ColdHealthCheckService",)
 
 # A server that has a free place answers at once.
 ANSWER_LIMIT_MS = 250
 HOST_HEADER = ((b"host", b"server"),)
 
 
-class ColdAskingService(Service):
+class ColdHealthCheckService(Service):
     """Asks servers of this region for their health while this VM hears of no changes."""
 
     name: ClassVar[str] = COLD_ASKING
@@ -54,7 +54,7 @@
         started()
         while True:
             await self._clock.sleep(ASK_EVERY_MS)
-            if self._feed.follows or self._fleet.told_beside():
+            if self._feed.watches_store or self._fleet.told_beside():
                 continue
             async with anyio.create_task_group() as tg:
                 for server, health_path in self._due():
@@ -65,17 +65,17 @@
 
         Beside each is the path at which it is asked.
         """
-        knowledge = self._feed.knowledge
-        services = knowledge.config.services if knowledge.config else {}
+        routing_state = self._feed.routing_state
+        services = routing_state.config.services if routing_state.config else {}
         here = {
             it.server.id: (it.server, spec.health_path)
             for service, spec in services.items()
             if spec.cold_per_s > 0
-            for it in knowledge.servers(service)
-            if self._fleet.is_here(it.server.data_centre)
+            for it in routing_state.available_servers(service)
+            if self._fleet.in_own_region(it.server.data_centre)
         }
         mine = servers_to_ask(
-            self._fleet.me.name, servers=here, vms=self._fleet.who_places.serving()
+            self._fleet.own_vm.name, servers=here, vms=self._fleet.who_places.serving()
         )
         return [here[name] for name in mine]
 
@@ -89,7 +89,7 @@
             self._pool.forget(address)
             return
         if cold_ms:
-            self._feed.knowledge.cold(server.id, cold_ms, self._clock.now())
+            self._feed.routing_state.mark_cold(server.id, cold_ms, self._clock.now())
             self._fleet.found_cold(server.id, cold_ms)
 
     async def _cold_ms(self, address: Address, health_path: str) -> int | None:
--- a/src/hickorybeam/gateway/daemon.py
+++ b/src/hickorybeam/gateway/daemon.py
@@ -9,7 +9,7 @@
 from absl import logging
 
 from hickorybeam.clock import MS_PER_SECOND, SystemClock
-from hickorybeam.gateway.cold_asking import ColdAskingService
+from hickorybeam.gateway.cold_health_checks import ColdHealthCheckService
 from hickorybeam.gateway.feed import FeedService
 from hickorybeam.gateway.fleet import FleetService
 from hickorybeam.gateway.relay import RelayService
@@ -29,7 +29,7 @@
     clock, counters = SystemClock(), counters or Counters()
     grace_ms = round(cfg.gateway.grace_s * MS_PER_SECOND) if cfg.gateway else 0
     kernel = Kernel(clock, drain_limit_ms=grace_ms)
-    for kind in (PlatformStore, FeedService, FleetService, ColdAskingService, RelayService):
+    for kind in (PlatformStore, FeedService, FleetService, ColdHealthCheckService, RelayService):
         kernel.add(kind(cfg=cfg, clock=clock, counters=counters))
     return kernel
 
--- a/src/hickorybeam/gateway/endings.py
+++ b/src/hickorybeam/gateway/endings.py
@@ -91,7 +91,7 @@
             return ErrorKind.OVERLOADED, bounded_ms(progress.room_in_ms, left_ms)
         after = come_back_ms(
             away_ms=self._placing.away_ms(errand.service, now),
-            settling_ms=self._feed.settling_ms(now),
+            settling_ms=self._feed.server_recovery_ms(now),
             left_ms=left_ms,
         )
         return ErrorKind.NO_BACKEND, after
@@ -104,7 +104,7 @@
         :param progress: what has happened to the request, if it was admitted.
         """
         answer = answer_for(exc.kind)
-        config = self._feed.knowledge.config
+        config = self._feed.routing_state.config
         self._counters.refusals.labels(exc.kind.value).inc()
         self._log.note(
             "refused",
--- a/src/hickorybeam/gateway/feed.py
+++ b/src/hickorybeam/gateway/feed.py
@@ -18,7 +18,7 @@
 from hickorybeam.errors import ErrorKind, GatewayError
 from hickorybeam.gateway.asking import VmAsker
 from hickorybeam.gateway.changes import ChangeLog, decode_changes, decode_entries, encode_entries
-from hickorybeam.gateway.knowledge import Knowledge
+from hickorybeam.gateway.routing_state import RoutingState
 from hickorybeam.kernel import Service
 from hickorybeam.platform import (
     EVACUATIONS,
@@ -66,7 +66,7 @@
     needs: ClassVar[tuple[str, ...]] = (PLATFORM,)
 
     def __init__(self, *, cfg: Settings, clock: Clock, counters: Counters) -> None:
-        self.knowledge = Knowledge()
+        self.routing_state = RoutingState()
         self._cfg = cfg
         self._clock = clock
         self._items: dict[str, KeyValue] = {}
@@ -194,7 +194,7 @@
             self._learn(batch)
         self._complete = max(self._complete, changes.revision)
 
-    async def configured(self, limit_ms: float) -> None:
+    async def wait_for_config(self, limit_ms: float) -> None:
         """Wait until any configuration is known, or until the limit has passed."""
         with anyio.move_on_after(limit_ms / MS_PER_SECOND):
             await self._configured.wait()
@@ -208,7 +208,7 @@
         return None if found is None else msgspec.msgpack.encode(found)
 
     @property
-    def follows(self) -> bool:
+    def watches_store(self) -> bool:
         """Whether this VM watches the store and reaches it, so that others may ask it."""
         return self.watches and self._loaded and self._store_ok
 
@@ -219,7 +219,7 @@
             self.watches = watches
             self._watching.cancel()
 
-    def told(self, revision: int, now_ms: int, *, source: Address | None) -> None:
+    def note_peer_revision(self, revision: int, now_ms: int, *, source: Address | None) -> None:
         """Take another VM's word on the latest change that it knows.
 
         :param source: where to ask for it, if it is one that this VM may ask.
@@ -251,7 +251,7 @@
             self._loaded = False
             self._watching.cancel()
 
-    def settling_ms(self, now_ms: int) -> int:
+    def server_recovery_ms(self, now_ms: int) -> int:
         """Return how long servers' entries that lapsed with the store may take to come back."""
         return max(0, self._reached_ms + LAPSED_FOR_MS - now_ms)
 
@@ -337,27 +337,27 @@
             return
         match decode_entry(item.key, item.value):
             case NewConfig(config):
-                if self.knowledge.take_config(config):
+                if self.routing_state.update_config(config):
                     logging.info("configuration %d is in force", config.version)
                     self._version.set(config.version)
                     self._configured.set()
                     for listener in self._config_listeners:
                         listener()
             case ServerSeen(server):
-                self.knowledge.take_server(server, self._clock.now())
+                self.routing_state.update_server(server, self._clock.now())
             case Evacuated(data_centre):
                 logging.info("data centre %s is evacuated", data_centre)
-                self.knowledge.evacuated |= {data_centre}
+                self.routing_state.evacuated |= {data_centre}
             case Unreadable(key, why):
                 logging.warning("entry %s names nothing to use: %s", key, why)
-                self.knowledge.drop_server(key.rpartition("/")[2])
+                self.routing_state.drop_server(key.rpartition("/")[2])
 
     def _delete(self, key: str) -> None:
         if key not in self._items:
             return
         if key.startswith(EVACUATIONS):
             del self._items[key]
-            self.knowledge.evacuated -= {key.removeprefix(EVACUATIONS)}
+            self.routing_state.evacuated -= {key.removeprefix(EVACUATIONS)}
             logging.info("data centre %s is taken back", key.removeprefix(EVACUATIONS))
         elif self._clock.now() - self._trouble_ms < TROUBLE_MS and self._is_server(key):
             self._lapsing.setdefault(key, self._clock.now() + LAPSED_FOR_MS)
@@ -367,7 +367,7 @@
     def _forget(self, key: str) -> None:
         self._items.pop(key, None)
         if self._is_server(key):
-            self.knowledge.drop_server(key.rpartition("/")[2])
+            self.routing_state.drop_server(key.rpartition("/")[2])
 
     def _is_server(self, key: str) -> bool:
         return key.startswith(FEED_PREFIXES[1])
@@ -388,9 +388,9 @@
         store is back, although the VMs beside it serve.
         """
         await self._clock.sleep(600)
-        while self.knowledge.config is None:
+        while self.routing_state.config is None:
             for seed in self._seeds:
-                if self.knowledge.config is None:
+                if self.routing_state.config is None:
                     await self._ask(seed)
             await self._clock.sleep(500)
 
@@ -404,5 +404,5 @@
             logging.info("seed %s tells nothing: %r", seed, exc)
             return
         logging.info("%d entries learned from %s", len(items), seed)
-        if self.knowledge.config is None:
+        if self.routing_state.config is None:
             self._apply(WatchBatch(0, tuple(items)), latest=0)
--- a/src/hickorybeam/gateway/fleet.py
+++ b/src/hickorybeam/gateway/fleet.py
@@ -20,11 +20,11 @@
 
 from hickorybeam.gateway.datagrams import Datagrams
 from hickorybeam.gateway.feed import FeedService
-from hickorybeam.gateway.figures import OwnFigures, spread
-from hickorybeam.gateway.peers import STEADY_MS, YOUNG_MS, PeerTable
+from hickorybeam.gateway.usage_reporting import OwnFigures, spread
+from hickorybeam.gateway.peers import MIN_STABLE_MS, DISCOVERY_MS, PeerTable
 from hickorybeam.gateway.place_words import Placed, Still, Told, Wanted
 from hickorybeam.gateway.registration import Registration
-from hickorybeam.gateway.tell import Audience, Tell
+from hickorybeam.gateway.status_report import Audience, StatusReport
 from hickorybeam.gateway.who_places import WhoPlaces
 from hickorybeam.kernel import Service
 from hickorybeam.model.routing import GatewayVm
@@ -50,8 +50,8 @@
     from typing import Any
 
     from hickorybeam.clock import Clock
-    from hickorybeam.gateway.peers import Peer, RegionForecast
-    from hickorybeam.gateway.tell import Granted, RegionFigures, ServerFigures
+    from hickorybeam.gateway.peers import Peer, RemoteCandidate
+    from hickorybeam.gateway.status_report import GrantedUsage, WaitForecast, ServerUsage
     from hickorybeam.http1.pool import Address
     from hickorybeam.kernel import Kernel, Started
     from hickorybeam.settings import GatewaySettings, Settings
@@ -60,7 +60,7 @@
 __all__ = ("FleetService",)
 
 # All that VMs say to each other in datagrams.
-Word = Tell | Wanted | Placed | Told | Still
+PeerMessage = StatusReport | Wanted | Placed | Told | Still
 # Figures of servers that didn't change are told again after so many times.
 WHOLE_EVERY = 10
 
@@ -79,12 +79,12 @@
         allowance = cfg.gateway.quota_allowance if cfg.gateway else 0.0
         self.quota = FleetQuota(allowance=allowance)
         self._figures = OwnFigures(clock, self.quota)
-        self.holders = PrefixHolders()
+        self.prefix_holders = PrefixHolders()
         self._leaving_since_ms: int | None = None
-        self.forecast: dict[str, RegionFigures] = {}
+        self.forecast: dict[str, WaitForecast] = {}
         # How late the region's other VMs are heard, added up over them, in ms.
-        self.region_lag_ms = 0.0
-        self.me = GatewayVm(
+        self.report_lag_ms = 0.0
+        self.own_vm = GatewayVm(
             name=cfg.vm.name,
             incarnation=secrets.token_hex(4),
             region=cfg.vm.region,
@@ -94,12 +94,12 @@
             peer_port=cfg.vm.peer_port,
             power=cfg.vm.power,
         )
-        self.peers = PeerTable(clock, self.me)
-        self.who_places = WhoPlaces(self.me, self.peers, self._stays)
-        self._words: dict[type[Word], Callable[[Any], None]] = {Tell: self._take_word}
+        self.peers = PeerTable(clock, self.own_vm)
+        self.who_places = WhoPlaces(self.own_vm, self.peers, self._stays)
+        self._words: dict[type[PeerMessage], Callable[[Any], None]] = {StatusReport: self._take_word}
         # What this VM has at servers by places that others gave it.
-        self.granted: Callable[[], Granted] = dict
-        self._relayed: list[Tell] = []
+        self.granted_usage: Callable[[], GrantedUsage] = dict
+        self._relayed: list[StatusReport] = []
         self._rng = random.Random()
         self._times = 0
         self._turns: dict[str, int] = {}
@@ -110,7 +110,7 @@
         self._transport: asyncio.DatagramTransport | None = None
         self._sent_bytes = counters.counter("peer_bytes", "Bytes of datagrams sent to other VMs")
         alive = counters.gauge("vms_heard", "VMs of the fleet that are heard, this one included")
-        alive.set_function(lambda: self.heard())
+        alive.set_function(lambda: self.live_vm_count())
 
     @property
     def leaving(self) -> bool:
@@ -123,7 +123,7 @@
         self._feed = kernel.find(FEED, FeedService)
         self._feed.on_batch(self._take_batch)
         self._feed.on_config(self._take_config)
-        key = f"{self._cfg.platform.prefix}vm/{self.me.name}"
+        key = f"{self._cfg.platform.prefix}vm/{self.own_vm.name}"
         self._registration = Registration(self._store, self._clock, key)
 
     def reload(self, cfg: GatewaySettings) -> None:
@@ -131,44 +131,44 @@
         self.quota.allowance = cfg.quota_allowance
         self._regions = cfg.regions
 
-    def is_here(self, data_centre: str) -> bool:
+    def in_own_region(self, data_centre: str) -> bool:
         """Whether a data centre is of this VM's region."""
-        return self._regions.get(data_centre) == self.me.region
+        return self._regions.get(data_centre) == self.own_vm.region
 
     def _stays(self) -> bool:
-        return self._clock.now() - self._started_ms >= STEADY_MS and not self.leaving
+        return self._clock.now() - self._started_ms >= MIN_STABLE_MS and not self.leaving
 
     def settled(self) -> bool:
         """Whether this VM has run for long enough to have heard of all others."""
-        return self._clock.now() - self._started_ms >= YOUNG_MS
+        return self._clock.now() - self._started_ms >= DISCOVERY_MS
 
-    def heard(self) -> int:
+    def live_vm_count(self) -> int:
         """Return how many VMs are heard, this one included."""
-        return 1 + self.peers.heard()
+        return 1 + self.peers.live_count()
 
-    def known(self) -> int:
+    def known_vm_count(self) -> int:
         """Return how many VMs there are as far as is known, this one included."""
         return 1 + self.peers.known()
 
     def region_vms(self, region: str) -> list[GatewayVm]:
         """Return the VMs of a region that callers may use."""
-        found = self.peers.serving(region)
-        if region == self.me.region and not self.leaving:
-            found.append(self.me)
+        found = self.peers.serving_vms(region)
+        if region == self.own_vm.region and not self.leaving:
+            found.append(self.own_vm)
         return found
 
     def leaving_vms(self, region: str) -> list[tuple[GatewayVm, int]]:
         """Return the VMs of a region that shut down, and for how long each has, in ms."""
         found = self.peers.leaving(region)
-        if region == self.me.region and self._leaving_since_ms is not None:
-            found.append((self.me, self._clock.now() - self._leaving_since_ms))
+        if region == self.own_vm.region and self._leaving_since_ms is not None:
+            found.append((self.own_vm, self._clock.now() - self._leaving_since_ms))
         return found
 
-    def on_word(self, kind: type[Word], take: Callable[[Any], None]) -> None:
+    def on_message(self, kind: type[PeerMessage], take: Callable[[Any], None]) -> None:
         """Hand words of a kind on; without anyone to take them, they are dropped."""
         self._words[kind] = take
 
-    def say(self, vm: str, word: Word) -> None:
+    def send_message(self, vm: str, word: PeerMessage) -> None:
         """Say something to one VM of the region, if it is known."""
         peer = self.peers.by_name.get(vm)
         if peer is not None:
@@ -182,22 +182,22 @@
         """Tell the region's VMs that a server said of itself that it is cold."""
         self._figures.found_cold(server_id, cold_ms)
 
-    def elsewhere(self, service: str, *, leaving: bool = False) -> list[RegionForecast]:
+    def remote_candidates(self, service: str, *, leaving: bool = False) -> list[RemoteCandidate]:
         """Return VMs of other regions that take requests for a service, best first.
 
         :param leaving: those that shut down instead of those that stay.
         """
-        return self.peers.elsewhere(service, leaving=leaving)
+        return self.peers.remote_candidates(service, leaving=leaving)
 
     async def main(self, started: Started) -> None:
         """Register and talk until cancelled."""
         loop = asyncio.get_running_loop()
-        self._peer_socket = bound_socket(self._cfg.vm.host, self.me.peer_port)
+        self._peer_socket = bound_socket(self._cfg.vm.host, self.own_vm.peer_port)
         port = self._peer_socket.getsockname()[1]
         self._transport, _ = await loop.create_datagram_endpoint(
             lambda: Datagrams(self.receive), local_addr=(self._cfg.vm.host, port)
         )
-        self.me = replace(self.me, peer_port=port)
+        self.own_vm = replace(self.own_vm, peer_port=port)
         started()
         try:
             async with anyio.create_task_group() as tg:
@@ -213,11 +213,11 @@
         The port is bound together with that of the datagrams, so that both have one number.
         """
         sock, self._peer_socket = self._peer_socket, None
-        return sock or bound_socket(self.me.host, self.me.peer_port)
+        return sock or bound_socket(self.own_vm.host, self.own_vm.peer_port)
 
     def serve(self, *, caller_port: int) -> None:
         """Register from now on: callers and peers can connect."""
-        self.me = replace(self.me, caller_port=caller_port)
+        self.own_vm = replace(self.own_vm, caller_port=caller_port)
         self._serving.set()
 
     async def leave(self) -> None:
@@ -232,10 +232,10 @@
 
     async def _register(self) -> None:
         await self._serving.wait()
-        await self._registration.hold(self.me)
+        await self._registration.hold(self.own_vm)
 
     def _take_config(self) -> None:
-        config = self._feed.knowledge.config
+        config = self._feed.routing_state.config
         if config is not None:
             self.quota.configure(config.accounts.values(), self._clock.now())
 
@@ -258,27 +258,27 @@
             self.peers.prune()
             self.who_places.look_again()
             self._adapt()
-            self.quota.reach(1 + self.peers.spending_together(), self.known(), now)
-            heard = [it for it in self.peers.by_name.values() if self.peers.is_heard(it)]
-            spread(self._feed.knowledge, heard, me=self.me.name)
+            self.quota.reach(1 + self.peers.spending_together(), self.known_vm_count(), now)
+            heard = [it for it in self.peers.by_name.values() if self.peers.is_live(it)]
+            spread(self._feed.routing_state, heard, me=self.own_vm.name)
             self._tell_near()
 
     async def _talk_outside(self) -> None:
         while True:
             young = not self.settled()
-            every_ms = outside_every_ms(self.known(), young=young)
+            every_ms = outside_every_ms(self.known_vm_count(), young=young)
             await self._clock.sleep(out_of_step_ms(every_ms, self._rng))
             self._tell_outside()
 
     def _adapt(self) -> None:
         """Fit intervals to the fleet's size, and watch the store or leave it to others."""
         near, watching = len(self.peers.near()), watchers_of(self.peers.centres())
-        self.peers.heard_limit_ms = gone_after_ms(near=near, vms=self.known())
-        self.quota.silent_ms = self.peers.spends_alone_after_ms()
+        self.peers.peer_timeout_ms = gone_after_ms(near=near, vms=self.known_vm_count())
+        self.quota.silent_ms = self.peers.quota_peer_timeout_ms()
         self._store.watch_rest_ms = watch_rest_ms(watching)
         self._store.watch_wait_ms = watch_wait_ms(watching)
-        self._feed.watch_itself(watches_itself(self.me.name, self._heard_near()))
-        self.region_lag_ms = self.peers.region_lag_ms()
+        self._feed.watch_itself(watches_itself(self.own_vm.name, self._heard_near()))
+        self.report_lag_ms = self.peers.report_lag_ms()
 
     def _heard_near(self) -> dict[str, bool]:
         """Return the VMs of this data centre that are relied on, and whether each watches."""
@@ -314,14 +314,14 @@
 
     def _offset(self) -> int:
         """Return where this VM begins its turns, so that VMs don't all choose the same one."""
-        return int(self.me.incarnation, 16)
+        return int(self.own_vm.incarnation, 16)
 
     def _encoded(
         self,
         audience: Audience,
         *,
         whole: bool = True,
-        relayed: Sequence[Tell] = (),
+        relayed: Sequence[StatusReport] = (),
         answer: bool = False,
     ) -> bytes:
         tell = self._message(audience, whole=whole, relayed=relayed, answer=answer)
@@ -333,17 +333,17 @@
             self._sent_bytes.inc(len(data))
 
     def _message(
-        self, audience: Audience, *, whole: bool, relayed: Sequence[Tell], answer: bool
-    ) -> Tell:
+        self, audience: Audience, *, whole: bool, relayed: Sequence[StatusReport], answer: bool
+    ) -> StatusReport:
         far = audience is Audience.FAR
-        granted = {} if far else self.granted()
-        return Tell(
-            name=self.me.name,
-            incarnation=self.me.incarnation,
+        granted = {} if far else self.granted_usage()
+        return StatusReport(
+            name=self.own_vm.name,
+            incarnation=self.own_vm.incarnation,
             up_ms=self._clock.now() - self._started_ms,
             leaving=self.leaving,
             revision=self._feed.revision,
-            follows=self._feed.follows,
+            follows=self._feed.watches_store,
             fresh=self._fresh,
             spent=self._figures.spends(whole=whole),
             servers={} if far else self._servers(granted, whole=whole),
@@ -352,19 +352,19 @@
             relayed=list(relayed),
             levels=self.quota.levels() if answer else None,
             # Peers may not know it: a VM that restarts while the store is out isn't registered.
-            vm=None if self._registration.held else self.me,
-            holds={} if answer else self.holders.news(audience.value),
+            vm=None if self._registration.held else self.own_vm,
+            holds={} if answer else self.prefix_holders.news(audience.value),
             cold={} if far else self._figures.cold_left(),
             granted=granted,
         )
 
-    def _servers(self, granted: Granted, *, whole: bool) -> dict[str, ServerFigures]:
-        return self._figures.servers(self._feed.knowledge, granted, whole=whole)
+    def _servers(self, granted: GrantedUsage, *, whole: bool) -> dict[str, ServerUsage]:
+        return self._figures.servers(self._feed.routing_state, granted, whole=whole)
 
     def receive(self, data: bytes) -> None:
         """Take what a peer says."""
         try:
-            word = msgspec.msgpack.decode(data, type=Word)
+            word = msgspec.msgpack.decode(data, type=PeerMessage)
         except msgspec.MsgspecError as exc:
             logging.warning("a datagram cannot be read: %s", exc)
             return
@@ -372,17 +372,17 @@
         if take is not None:
             take(word)
 
-    def _take_word(self, tell: Tell) -> None:
+    def _take_word(self, tell: StatusReport) -> None:
         """Take what a peer says of itself, and of others that told it."""
         sender = self._take_tell(tell)
         for relayed in tell.relayed:
-            if relayed.name != self.me.name:
+            if relayed.name != self.own_vm.name:
                 self._take_tell(relayed)
-        if sender is not None and sender.vm.data_centre != self.me.data_centre:
+        if sender is not None and sender.vm.data_centre != self.own_vm.data_centre:
             # For the next word to the VMs of this data centre.
             self._relayed.append(tell)
 
-    def _take_tell(self, tell: Tell) -> Peer | None:
+    def _take_tell(self, tell: StatusReport) -> Peer | None:
         peer = self.peers.heard_of(tell.name, tell.vm)
         if peer is None:
             return None
@@ -391,14 +391,14 @@
             peer.leaving_since_ms = now
         peer.leaving = tell.leaving
         peer.follows = tell.follows
-        self._feed.told(tell.revision, now, source=self._source(peer))
-        self.holders.heard(tell.holds, now)
+        self._feed.note_peer_revision(tell.revision, now, source=self._source(peer))
+        self.prefix_holders.heard(tell.holds, now)
         if self.peers.here(peer):
             kept = {} if tell.whole or peer.servers is None else peer.servers
             peer.servers = kept | tell.servers
             peer.granted = tell.granted
             for server, cold_ms in tell.cold.items():
-                self._feed.knowledge.cold(server, cold_ms, now)
+                self._feed.routing_state.mark_cold(server, cold_ms, now)
         else:
             peer.forecasts = tell.forecasts
         younger = tell.up_ms < now - self._started_ms
@@ -409,17 +409,17 @@
 
     def _source(self, peer: Peer) -> Address | None:
         """Return where to ask a peer for changes, if it follows the store close by."""
-        if not peer.follows or peer.vm.data_centre != self.me.data_centre:
+        if not peer.follows or peer.vm.data_centre != self.own_vm.data_centre:
             return None
         return (peer.vm.host, peer.vm.peer_port)
 
-    def _settle_in(self, tell: Tell, peer: Peer, now_ms: int) -> None:
+    def _settle_in(self, tell: StatusReport, peer: Peer, now_ms: int) -> None:
         """Take the buckets' levels from an older VM, or give them to a younger one."""
         up_ms = now_ms - self._started_ms
         if tell.levels is not None and self._fresh and tell.up_ms > up_ms:
             self._fresh = False
             self.quota.adopt(tell.levels, now_ms)
-        if self._fresh and up_ms > YOUNG_MS:
+        if self._fresh and up_ms > DISCOVERY_MS:
             self._fresh = False
         if tell.fresh and tell.up_ms < up_ms:
             audience = Audience.ASIDE if self.peers.here(peer) else Audience.FAR
--- a/src/hickorybeam/gateway/grants.py
+++ b/src/hickorybeam/gateway/grants.py
@@ -62,10 +62,10 @@
         key = (word.vm, word.number)
         known = self._answers.get(key)
         if known is not None:
-            self._fleet.say(word.vm, known[0])
+            self._fleet.send_message(word.vm, known[0])
             return
         if key in self._waiting:
-            self._fleet.say(word.vm, Placed(word.number, Verdict.WAITS))
+            self._fleet.send_message(word.vm, Placed(word.number, Verdict.WAITS))
             return
         errand, targets = errand_of(word, self._clock.now()), self._targets_of(word)
         found = self._placing.choose(errand, targets)
@@ -73,7 +73,7 @@
             place = self._queueing.enter(errand, found)
             if place is not None and self._tasks is not None:
                 self._waiting[key] = anyio.CancelScope()
-                self._fleet.say(word.vm, Placed(word.number, Verdict.WAITS))
+                self._fleet.send_message(word.vm, Placed(word.number, Verdict.WAITS))
                 self._tasks.start_soon(self._wait, key, errand, targets, place)
                 return
             found = self._queueing.at_last(errand, targets, found)
@@ -106,7 +106,7 @@
             case None:
                 answer = Placed(number, Verdict.NOTHING)
         self._answers[key] = (answer, errand.deadline_ms)
-        self._fleet.say(vm, answer)
+        self._fleet.send_message(vm, answer)
 
     def _targets_of(self, word: Wanted) -> OpenTargets:
         """Return the targets that are open to another VM's request, as seen from there."""
--- a/src/hickorybeam/gateway/path.py
+++ b/src/hickorybeam/gateway/path.py
@@ -29,7 +29,7 @@
     from hickorybeam.gateway.attempt import Errand, Target
     from hickorybeam.gateway.feed import FeedService
     from hickorybeam.gateway.fleet import FleetService
-    from hickorybeam.gateway.tell import RegionFigures
+    from hickorybeam.gateway.status_report import WaitForecast
     from hickorybeam.http1 import Incoming, Reply, UpstreamPool
     from hickorybeam.settings import GatewaySettings
     from hickorybeam.telemetry import Counters
@@ -63,16 +63,16 @@
         self._clock = clock
         self._counters = counters
         self._feed = feed
-        self._knowledge = feed.knowledge
+        self._routing_state = feed.routing_state
         self._started_ms = clock.now()
         self._fleet = fleet
         self._budgets: dict[str, AttemptBudget] = {}
         self._lines = Lines(clock)
-        self._admission = Admission(clock=clock, knowledge=feed.knowledge, quota=fleet.quota)
+        self._admission = Admission(clock=clock, routing_state=feed.routing_state, quota=fleet.quota)
         self._placing = Placing(
             shutdown=shutdown_of(cfg),
             clock=clock,
-            knowledge=feed.knowledge,
+            routing_state=feed.routing_state,
             fleet=fleet,
             lines=self._lines,
         )
@@ -81,7 +81,7 @@
         )
         self._queueing = Queueing(clock=clock, lines=self._lines, placing=self._placing)
         self._asker = PlaceAsker(
-            clock=clock, counters=counters, fleet=fleet, knowledge=feed.knowledge
+            clock=clock, counters=counters, fleet=fleet, routing_state=feed.routing_state
         )
         self._grants = Grants(
             clock=clock, fleet=fleet, placing=self._placing, queueing=self._queueing
@@ -89,7 +89,7 @@
         self._sending = Sending(
             clock=clock,
             counters=counters,
-            knowledge=feed.knowledge,
+            routing_state=feed.routing_state,
             placing=self._placing,
             pool=pool,
             endings=self._endings,
@@ -97,11 +97,11 @@
 
     async def place_for_others(self) -> None:
         """Give places to other VMs, and take those that they give, until cancelled."""
-        self._fleet.on_word(Wanted, self._grants.wanted)
-        self._fleet.on_word(Told, self._grants.told)
-        self._fleet.on_word(Still, self._grants.still)
-        self._fleet.on_word(Placed, self._asker.placed)
-        self._fleet.granted = self._asker.granted
+        self._fleet.on_message(Wanted, self._grants.wanted)
+        self._fleet.on_message(Told, self._grants.told)
+        self._fleet.on_message(Still, self._grants.still)
+        self._fleet.on_message(Placed, self._asker.placed)
+        self._fleet.granted_usage = self._asker.granted
         async with anyio.create_task_group() as tg:
             tg.start_soon(self._asker.run)
             await self._grants.run(tg)
@@ -109,14 +109,14 @@
     async def answer(self, req: Incoming, reply: Reply) -> None:
         """Answer one request of a caller."""
         call = decode_call(req)
-        if self._knowledge.config is None:
-            await self._feed.configured(self._started_ms + STARTING_MS - self._clock.now())
+        if self._routing_state.config is None:
+            await self._feed.wait_for_config(self._started_ms + STARTING_MS - self._clock.now())
         try:
             errand = self._admission.admit(call)
         except GatewayError as exc:
             self._endings.refuse(call, reply, exc)
             return
-        self._budget(errand.service).earn(self._clock.now(), self._fleet.known())
+        self._budget(errand.service).earn(self._clock.now(), self._fleet.known_vm_count())
         await self.serve(errand, reply)
 
     async def serve(self, errand: Errand, reply: Reply, *, here_only: bool = False) -> None:
@@ -202,7 +202,7 @@
     def _is_gone(self, target: Target) -> bool:
         match target:
             case ToPeer(peer):
-                return not self._fleet.peers.is_heard(peer)
+                return not self._fleet.peers.is_live(peer)
             case ToServer():
                 return False
 
@@ -215,7 +215,7 @@
             # No server has got it yet, so this is no repeat of anything: charged for, full
             # regions that refused at once used up the budget for servers that failed.
             return True
-        if not self._budget(errand.service).take(self._clock.now(), self._fleet.known()):
+        if not self._budget(errand.service).take(self._clock.now(), self._fleet.known_vm_count()):
             progress.why += ", no budget to repeat"
             return False
         self._counters.retries.labels("repeat").inc()
@@ -247,7 +247,7 @@
             budget = self._budgets[service] = AttemptBudget(bounds_of(self._cfg))
         return budget
 
-    def forecasts(self) -> dict[str, RegionFigures]:
+    def forecasts(self) -> dict[str, WaitForecast]:
         """Return what other regions are told of this one, by service that has servers."""
         return self._placing.forecasts()
 
--- a/src/hickorybeam/gateway/peers.py
+++ b/src/hickorybeam/gateway/peers.py
@@ -20,16 +20,16 @@
 
 if TYPE_CHECKING:
     from hickorybeam.clock import Clock
-    from hickorybeam.gateway.tell import Granted, RegionFigures, ServerFigures
+    from hickorybeam.gateway.status_report import GrantedUsage, WaitForecast, ServerUsage
 
-__all__ = ("STEADY_MS", "YOUNG_MS", "Peer", "PeerTable", "RegionForecast")
+__all__ = ("MIN_STABLE_MS", "DISCOVERY_MS", "Peer", "PeerTable", "RemoteCandidate")
 
 # A VM that has just registered may not have been heard yet.
-YOUNG_MS = 2_500
+DISCOVERY_MS = 2_500
 # A VM that is known for so long has been heard by its region's others, so that they agree on who
 # places. Longer, and each would decide alone after all were killed at once, just while every
 # caller comes back.
-STEADY_MS = 1_000
+MIN_STABLE_MS = 1_000
 
 
 @dataclass(slots=True, eq=False)
@@ -39,25 +39,25 @@
     vm: GatewayVm
     known_ms: int
     registered: bool = True
-    heard_ms: int = -LEAST_HEARD_MS
+    last_seen_ms: int = -LEAST_HEARD_MS
     leaving: bool = False
     leaving_since_ms: int = 0
     follows: bool = False
-    servers: dict[str, ServerFigures] | None = None
-    granted: Granted = field(default_factory=dict)
-    forecasts: dict[str, RegionFigures] | None = None
+    servers: dict[str, ServerUsage] | None = None
+    granted: GrantedUsage = field(default_factory=dict)
+    forecasts: dict[str, WaitForecast] | None = None
 
-    def alive(self, now_ms: int, heard_limit_ms: int) -> bool:
+    def is_live_or_new(self, now_ms: int, peer_timeout_ms: int) -> bool:
         """Whether it was heard, or is too new to have been."""
-        return self.heard(now_ms, heard_limit_ms) or now_ms - self.known_ms < YOUNG_MS
+        return self.is_live(now_ms, peer_timeout_ms) or now_ms - self.known_ms < DISCOVERY_MS
 
-    def heard(self, now_ms: int, heard_limit_ms: int) -> bool:
+    def is_live(self, now_ms: int, peer_timeout_ms: int) -> bool:
         """Whether it was heard lately."""
-        return now_ms - self.heard_ms < heard_limit_ms
+        return now_ms - self.last_seen_ms < peer_timeout_ms
 
 
 @dataclass(frozen=True, slots=True)
-class RegionForecast:
+class RemoteCandidate:
     """A VM of another region that takes requests for a service, and what it tells of it.
 
     ``wait_ms`` is that of an empty prompt, ``running`` the requests at the server of that wait.
@@ -76,36 +76,36 @@
 
     def __init__(self, clock: Clock, me: GatewayVm) -> None:
         self._clock = clock
-        self._me = me
-        self.heard_limit_ms = LEAST_HEARD_MS
+        self._own_vm = me
+        self.peer_timeout_ms = LEAST_HEARD_MS
         self.by_name: dict[str, Peer] = {}
 
-    def heard(self) -> int:
+    def live_count(self) -> int:
         """Return how many VMs are heard."""
-        return sum(self.is_heard(it) for it in self.by_name.values())
+        return sum(self.is_live(it) for it in self.by_name.values())
 
     def spending_together(self) -> int:
         """Return how many VMs are heard well enough to share the accounts' rates with them."""
         now = self._clock.now()
-        heard = [now - it.heard_ms for it in self.by_name.values()]
+        heard = [now - it.last_seen_ms for it in self.by_name.values()]
         if min(heard, default=0) > quiet_after_ms(len(self.near())):
             return 0
-        limit_ms = self.spends_alone_after_ms()
+        limit_ms = self.quota_peer_timeout_ms()
         return sum(ago_ms < limit_ms for ago_ms in heard)
 
-    def spends_alone_after_ms(self) -> int:
+    def quota_peer_timeout_ms(self) -> int:
         """Return after which silence a VM of this fleet counts as spending by itself."""
         return spends_alone_after_ms(near=len(self.near()), vms=1 + self.known())
 
-    def is_heard(self, peer: Peer) -> bool:
+    def is_live(self, peer: Peer) -> bool:
         """Whether a VM was heard lately."""
-        return peer.heard(self._clock.now(), self.heard_limit_ms)
+        return peer.is_live(self._clock.now(), self.peer_timeout_ms)
 
     def known(self) -> int:
         """Return how many VMs there are, those left out that are leaving."""
         return sum(not peer.leaving for peer in self.by_name.values())
 
-    def serving(self, region: str) -> list[GatewayVm]:
+    def serving_vms(self, region: str) -> list[GatewayVm]:
         """Return the VMs of a region that callers may use."""
         now = self._clock.now()
         return [
@@ -113,10 +113,10 @@
             for peer in self.by_name.values()
             if peer.vm.region == region
             and not peer.leaving
-            and peer.alive(now, self.heard_limit_ms)
+            and peer.is_live_or_new(now, self.peer_timeout_ms)
         ]
 
-    def steady(self) -> dict[str, float]:
+    def stable_vms(self) -> dict[str, float]:
         """Return the VMs of this region that are heard, stay, and have been known for a while.
 
         Each with its processor, in usual cores.
@@ -127,8 +127,8 @@
             for name, peer in self.by_name.items()
             if self.here(peer)
             and not peer.leaving
-            and self.is_heard(peer)
-            and now - peer.known_ms > STEADY_MS
+            and self.is_live(peer)
+            and now - peer.known_ms > MIN_STABLE_MS
         }
 
     def leaving(self, region: str) -> list[tuple[GatewayVm, int]]:
@@ -137,15 +137,15 @@
         return [
             (peer.vm, now - peer.leaving_since_ms)
             for peer in self.by_name.values()
-            if peer.vm.region == region and peer.leaving and peer.heard(now, self.heard_limit_ms)
+            if peer.vm.region == region and peer.leaving and peer.is_live(now, self.peer_timeout_ms)
         ]
 
     def near(self) -> list[Peer]:
         """Return the VMs of this data centre."""
-        here = self._me.data_centre
+        here = self._own_vm.data_centre
         return [it for it in self.by_name.values() if it.vm.data_centre == here]
 
-    def region_lag_ms(self) -> float:
+    def report_lag_ms(self) -> float:
         """Return how late the other VMs of this region are heard, added up over them.
 
         Words of other data centres come by way of a VM of this one.
@@ -153,8 +153,8 @@
         now = self._clock.now()
         near = aside = 0
         for peer in self.by_name.values():
-            if self.here(peer) and peer.heard(now, self.heard_limit_ms):
-                beside = peer.vm.data_centre == self._me.data_centre
+            if self.here(peer) and peer.is_live(now, self.peer_timeout_ms):
+                beside = peer.vm.data_centre == self._own_vm.data_centre
                 near, aside = near + beside, aside + (not beside)
         every_ms = near_every_ms(near)
         return near * every_ms + aside * (outside_every_ms(1 + self.known()) + every_ms)
@@ -162,14 +162,14 @@
     def centres(self) -> Counter[str]:
         """Return how many VMs each data centre has, this one included."""
         found = Counter(it.vm.data_centre for it in self.by_name.values())
-        found[self._me.data_centre] += 1
+        found[self._own_vm.data_centre] += 1
         return found
 
     def heard_near(self, for_ms: int) -> dict[str, bool]:
         """Return the VMs of this data centre heard lately, and whether each follows the store."""
         now = self._clock.now()
         return {
-            it.vm.name: it.follows and not it.leaving for it in self.near() if it.heard(now, for_ms)
+            it.vm.name: it.follows and not it.leaving for it in self.near() if it.is_live(now, for_ms)
         }
 
     def outside(self) -> dict[str, list[Peer]]:
@@ -177,29 +177,29 @@
         now = self._clock.now()
         by_centre: dict[str, list[Peer]] = {}
         for peer in self.by_name.values():
-            if peer.vm.data_centre != self._me.data_centre:
+            if peer.vm.data_centre != self._own_vm.data_centre:
                 by_centre.setdefault(peer.vm.data_centre, []).append(peer)
         for centre, peers in by_centre.items():
-            alive = [it for it in peers if it.alive(now, self.heard_limit_ms)] or peers
+            alive = [it for it in peers if it.is_live_or_new(now, self.peer_timeout_ms)] or peers
             by_centre[centre] = sorted(alive, key=lambda it: it.vm.name)
         return by_centre
 
     def here(self, peer: Peer) -> bool:
         """Whether a VM is of this region."""
-        return peer.vm.region == self._me.region
+        return peer.vm.region == self._own_vm.region
 
-    def elsewhere(self, service: str, *, leaving: bool = False) -> list[RegionForecast]:
+    def remote_candidates(self, service: str, *, leaving: bool = False) -> list[RemoteCandidate]:
         """Return VMs of other regions that take requests for a service, best first.
 
         :param leaving: those that shut down instead of those that stay.
         """
         now = self._clock.now()
         found = [
-            RegionForecast(peer, *peer.forecasts[service])
+            RemoteCandidate(peer, *peer.forecasts[service])
             for peer in self.by_name.values()
             if not self.here(peer)
             and peer.leaving == leaving
-            and peer.heard(now, self.heard_limit_ms)
+            and peer.is_live(now, self.peer_timeout_ms)
             and peer.forecasts is not None
             and service in peer.forecasts
         ]
@@ -212,7 +212,7 @@
         except msgspec.MsgspecError as exc:
             logging.warning("a VM's entry cannot be read: %s", exc)
             return
-        if vm.name == self._me.name:
+        if vm.name == self._own_vm.name:
             return
         known = self.by_name.get(vm.name)
         if known is not None and known.vm == vm:
@@ -228,10 +228,10 @@
     def heard_of(self, name: str, vm: GatewayVm | None) -> Peer | None:
         """Return a VM that was heard; one that isn't registered tells who it is."""
         peer = self.by_name.get(name)
-        if peer is None and vm is not None and name != self._me.name:
+        if peer is None and vm is not None and name != self._own_vm.name:
             peer = self.by_name[name] = Peer(vm, self._clock.now(), registered=False)
         if peer is not None:
-            peer.heard_ms = self._clock.now()
+            peer.last_seen_ms = self._clock.now()
         return peer
 
     def prune(self) -> None:
@@ -242,5 +242,5 @@
         """
         now = self._clock.now()
         for name, peer in tuple(self.by_name.items()):
-            if not peer.registered and not peer.alive(now, self.heard_limit_ms):
+            if not peer.registered and not peer.is_live_or_new(now, self.peer_timeout_ms):
                 del self.by_name[name]
--- a/src/hickorybeam/gateway/place_asking.py
+++ b/src/hickorybeam/gateway/place_asking.py
@@ -14,15 +14,15 @@
 from hickorybeam.gateway.attempt import ToPeer, ToServer
 from hickorybeam.gateway.place_words import Ending, Placed, Still, Told, Verdict, Wanted
 from hickorybeam.gateway.placing import Full, Nowhere
-from hickorybeam.gateway.tell import NOTHING, added
+from hickorybeam.gateway.status_report import NO_USAGE, add_usage
 
 if TYPE_CHECKING:
     from hickorybeam.clock import Clock
     from hickorybeam.gateway.attempt import Errand, Target
     from hickorybeam.gateway.fleet import FleetService
-    from hickorybeam.gateway.knowledge import Knowledge
+    from hickorybeam.gateway.routing_state import RoutingState
     from hickorybeam.gateway.placing import OpenTargets
-    from hickorybeam.gateway.tell import Granted, ServerFigures
+    from hickorybeam.gateway.status_report import GrantedUsage, ServerUsage
     from hickorybeam.policy.server_choice import ServerStanding
     from hickorybeam.telemetry import Counters
 
@@ -76,7 +76,7 @@
     standing: ServerStanding
     copy_from: str | None
     wait_ms: float
-    figures: ServerFigures = NOTHING
+    figures: ServerUsage = NO_USAGE
 
     def begin(self, *, reading: int, size: int) -> None:
         """Take note of what this VM counts for it itself."""
@@ -97,11 +97,11 @@
     """Asks for places, and tells how the requests go on that got one."""
 
     def __init__(
-        self, *, clock: Clock, counters: Counters, fleet: FleetService, knowledge: Knowledge
+        self, *, clock: Clock, counters: Counters, fleet: FleetService, routing_state: RoutingState
     ) -> None:
         self._clock = clock
         self._fleet = fleet
-        self._knowledge = knowledge
+        self._routing_state = routing_state
         # A later life of this VM must not seem to ask for what an earlier one asked for.
         self._numbers = itertools.count(random.getrandbits(FIRST_NUMBER_BITS))
         self._questions: dict[int, Question] = {}
@@ -115,7 +115,7 @@
 
     def applies(self, errand: Errand) -> bool:
         """Whether another VM places this request: prompts, where the region has several VMs."""
-        return bool(errand.call.parts) and self.placer(errand.service) != self._fleet.me.name
+        return bool(errand.call.parts) and self.placer(errand.service) != self._fleet.own_vm.name
 
     def placer(self, service: str) -> str:
         """Return the VM to ask, this one where it decides itself."""
@@ -123,7 +123,7 @@
             now = self._clock.now()
             self._silent = {vm: until for vm, until in self._silent.items() if until > now}
         if len(self._silent) >= MOST_SILENT:
-            return self._fleet.me.name
+            return self._fleet.own_vm.name
         return self._fleet.who_places.placer(service, silent=self._silent)
 
     async def run(self) -> None:
@@ -136,8 +136,8 @@
         """Tell who gives places which of them are still held."""
         numbers = [*self._questions, *self._grants]
         for placer in {self.placer(service) for service in self._services}:
-            if placer != self._fleet.me.name:
-                self._fleet.say(placer, Still(self._fleet.me.name, numbers))
+            if placer != self._fleet.own_vm.name:
+                self._fleet.send_message(placer, Still(self._fleet.own_vm.name, numbers))
 
     async def place(self, errand: Errand, targets: OpenTargets) -> Target | Full | Nowhere | None:
         """Ask where a request goes.
@@ -165,7 +165,7 @@
     ) -> Placed | None:
         unanswered, again_ms = 0, ASK_AGAIN_MS
         while unanswered < MOST_UNANSWERED:
-            self._fleet.say(placer, self._wanted(number, errand, targets))
+            self._fleet.send_message(placer, self._wanted(number, errand, targets))
             answer = await question.within(again_ms)
             while answer is not None and answer.verdict is Verdict.WAITS:
                 unanswered, again_ms = 0, WAITING_AGAIN_MS
@@ -181,7 +181,7 @@
     def _wanted(self, number: int, errand: Errand, targets: OpenTargets) -> Wanted:
         now, call = self._clock.now(), errand.call
         return Wanted(
-            vm=self._fleet.me.name,
+            vm=self._fleet.own_vm.name,
             number=number,
             service=errand.service,
             account=errand.account,
@@ -212,8 +212,8 @@
                 return Nowhere()
 
     def _granted(self, answer: Placed, placer: str, number: int) -> Target | None:
-        standing = self._knowledge.standings.get(answer.target)
-        if standing is None or not self._knowledge.takes_work(standing):
+        standing = self._routing_state.server_states.get(answer.target)
+        if standing is None or not self._routing_state.is_available(standing):
             # This VM knows something later of the server than the one that chose it.
             self._end(placer, number, Ending.LEFT)
             return None
@@ -243,13 +243,13 @@
         if self._grants.pop(grant.number, None) is not None:
             self._end(grant.placer, grant.number, ending)
 
-    def granted(self) -> Granted:
+    def granted(self) -> GrantedUsage:
         """Return what this VM has at servers by places that others gave it."""
-        found: Granted = {}
+        found: GrantedUsage = {}
         for grant in self._grants.values():
             figures = found.setdefault(grant.placer, {})
             server = grant.standing.server.id
-            figures[server] = added(figures.get(server, NOTHING), grant.figures)
+            figures[server] = add_usage(figures.get(server, NO_USAGE), grant.figures)
         return found
 
     def _end(self, placer: str, number: int, ending: Ending) -> None:
@@ -259,4 +259,4 @@
         self._say(placer, list(ends))
 
     def _say(self, placer: str, endings: list[tuple[int, Ending]]) -> None:
-        self._fleet.say(placer, Told(self._fleet.me.name, endings))
+        self._fleet.send_message(placer, Told(self._fleet.own_vm.name, endings))
--- a/src/hickorybeam/gateway/placing.py
+++ b/src/hickorybeam/gateway/placing.py
@@ -28,11 +28,11 @@
     from hickorybeam.clock import Clock
     from hickorybeam.gateway.attempt import Errand, Target
     from hickorybeam.gateway.fleet import FleetService
-    from hickorybeam.gateway.knowledge import Knowledge
+    from hickorybeam.gateway.routing_state import RoutingState
     from hickorybeam.gateway.line import Lines
-    from hickorybeam.gateway.peers import RegionForecast
+    from hickorybeam.gateway.peers import RemoteCandidate
     from hickorybeam.gateway.place_asking import Grant
-    from hickorybeam.gateway.tell import RegionFigures
+    from hickorybeam.gateway.status_report import WaitForecast
     from hickorybeam.model.routing import RelayCall
     from hickorybeam.policy.cold_limit import ColdLimit
     from hickorybeam.policy.shutdown import Shutdown
@@ -105,13 +105,13 @@
         *,
         shutdown: Shutdown,
         clock: Clock,
-        knowledge: Knowledge,
+        routing_state: RoutingState,
         fleet: FleetService,
         lines: Lines,
     ) -> None:
         self.shutdown = shutdown
         self._clock = clock
-        self._knowledge = knowledge
+        self._routing_state = routing_state
         self._fleet = fleet
         self._lines = lines
         self._rng = random.Random()
@@ -134,7 +134,7 @@
 
     def _chosen(self, errand: Errand, targets: OpenTargets, now: int) -> Target | Full | None:
         here: ServerStanding | Full | None = None
-        if targets.here_only or self._allowed(errand, self._fleet.me.region):
+        if targets.here_only or self._allowed(errand, self._fleet.own_vm.region):
             here = self._choose_here(errand, targets, now)
         away = None if targets.here_only else self._choose_away(errand, targets)
         if away is not None and (
@@ -145,7 +145,7 @@
             return here
         if not self._in_time(here, errand, now):
             return Full(0.0, in_vain=True)
-        if self._knowledge.is_cold(here.server.id, now):
+        if self._routing_state.is_cold(here.server.id, now):
             self._cold_limit(here, now).take(now)
         return ToServer(here)
 
@@ -194,7 +194,7 @@
             now_ms=now_ms,
             rng=self._rng,
             unseen_ms=self._unseen_ms(errand.service, now_ms),
-            data_centre=targets.sent_from or self._fleet.me.data_centre,
+            data_centre=targets.sent_from or self._fleet.own_vm.data_centre,
         )
         if found is None or targets.here_only or not targets.late_waits:
             return found
@@ -260,12 +260,12 @@
     def _remember(self, standing: ServerStanding, errand: Errand, now_ms: int) -> None:
         """Take note of the parts that a server holds from now on."""
         parts = errand.call.parts
-        config = self._knowledge.config
+        config = self._routing_state.config
         spec = config.services.get(errand.service) if config else None
         room = spec.engine.cache_tokens if spec and spec.engine else 0
         standing.memory_tokens = room
         standing.memory.sent(parts, room or DEFAULT_CACHE_TOKENS)
-        self._fleet.holders.sent(parts, standing.server.id, now_ms)
+        self._fleet.prefix_holders.sent(parts, standing.server.id, now_ms)
 
     def _unseen_ms(self, service: str, now_ms: int) -> float:
         """Return the reading that the region's other VMs sent since they were heard.
@@ -275,30 +275,30 @@
         """
         if self._fleet.who_places.places(service):
             return 0.0
-        return self._recent[service].rate(now_ms) * self._fleet.region_lag_ms
+        return self._recent[service].rate(now_ms) * self._fleet.report_lag_ms
 
     def _usable(self, service: str, now_ms: int) -> list[ServerStanding]:
         """Return this region's servers that may get a request now."""
         found = []
-        for standing in self._knowledge.servers(service):
-            if not self._fleet.is_here(standing.server.data_centre):
+        for standing in self._routing_state.available_servers(service):
+            if not self._fleet.in_own_region(standing.server.data_centre):
                 continue
             if standing.paused_until_ms > now_ms:
                 continue
-            cold = self._knowledge.is_cold(standing.server.id, now_ms)
+            cold = self._routing_state.is_cold(standing.server.id, now_ms)
             if not cold or self._may_warm(standing, now_ms):
                 found.append(standing)
         return found
 
     def _may_warm(self, standing: ServerStanding, now_ms: int) -> bool:
         owners = self._fleet.who_places.warming(standing.server)
-        return self._fleet.me.name in owners and self._cold_limit(standing, now_ms).ready(now_ms)
+        return self._fleet.own_vm.name in owners and self._cold_limit(standing, now_ms).ready(now_ms)
 
     def _cold_limit(self, standing: ServerStanding, now_ms: int) -> ColdLimit:
-        return self._knowledge.cold_limit(standing.server, now_ms)
+        return self._routing_state.cold_limit(standing.server, now_ms)
 
     def _choose_away(self, errand: Errand, targets: OpenTargets) -> tuple[ToPeer, float] | None:
-        found = self._elsewhere(errand, targets, self._fleet.elsewhere(errand.service))
+        found = self._elsewhere(errand, targets, self._fleet.remote_candidates(errand.service))
         if not found:
             found = self._elsewhere(errand, targets, self._finishing(errand))
         if not found:
@@ -311,8 +311,8 @@
         return ToPeer(pick.peer), pick.wait_ms + reading_ms + others_ms + REGION_WAY_MS
 
     def _elsewhere(
-        self, errand: Errand, targets: OpenTargets, told: Iterable[RegionForecast]
-    ) -> list[RegionForecast]:
+        self, errand: Errand, targets: OpenTargets, told: Iterable[RemoteCandidate]
+    ) -> list[RemoteCandidate]:
         """Return those other regions' VMs that a request may go to."""
         return [
             it
@@ -322,7 +322,7 @@
             and it.peer.vm.region not in targets.refused
         ]
 
-    def _finishing(self, errand: Errand) -> list[RegionForecast]:
+    def _finishing(self, errand: Errand) -> list[RemoteCandidate]:
         """Return VMs of other regions that shut down and surely end a request before they do.
 
         While a region's VMs are replaced in turn, all of them may be shutting down. Requests that
@@ -332,13 +332,13 @@
         left_ms = errand.deadline_ms - now
         return [
             it
-            for it in self._fleet.elsewhere(errand.service, leaving=True)
+            for it in self._fleet.remote_candidates(errand.service, leaving=True)
             if self.shutdown.finishes(since_ms=now - it.peer.leaving_since_ms, left_ms=left_ms)
         ]
 
     def _allowed(self, errand: Errand, region: str) -> bool:
         homes = [errand.route.homes]
-        config = self._knowledge.config
+        config = self._routing_state.config
         terms = config.accounts.get(errand.account or "") if config else None
         if terms is not None:
             homes.append(terms.homes)
@@ -350,18 +350,18 @@
         if standing is None or len(parts) < 2 or not standing.memory.missing(parts[:-1]):
             return None
         now = self._clock.now()
-        holder = self._knowledge.standings.get(self._fleet.holders.holder(parts, now) or "")
+        holder = self._routing_state.server_states.get(self._fleet.prefix_holders.holder(parts, now) or "")
         if holder is None or holder is standing or holder.paused_until_ms > now:
             return None
         if holder.server.leaving or holder.server.service != standing.server.service:
             return None
         return f"{holder.server.host}:{holder.server.port}"
 
-    def forecasts(self) -> dict[str, RegionFigures]:
+    def forecasts(self) -> dict[str, WaitForecast]:
         """Return what other regions are told of this one, by service that has servers."""
-        config = self._knowledge.config
+        config = self._routing_state.config
         now = self._clock.now()
-        found: dict[str, RegionFigures] = {}
+        found: dict[str, WaitForecast] = {}
         for service in config.services if config else ():
             usable = self._usable(service, now)
             free = [it for it in usable if it.has_room(0, now)]
--- a/src/hickorybeam/gateway/relay.py
+++ b/src/hickorybeam/gateway/relay.py
@@ -114,7 +114,7 @@
                         handler,
                         clock=self._clock,
                         tasks=tg,
-                        limits=self._feed.knowledge.callers,
+                        limits=self._feed.routing_state.callers,
                         on_malformed=self._malformed,
                     )
                     await server.listen_on(sock)
@@ -212,7 +212,7 @@
             reply.whole(200, MSGPACK, found)
 
     async def _ready(self, req: Incoming, reply: Reply) -> None:
-        ready = self._feed.knowledge.config is not None and not self._leaving
+        ready = self._feed.routing_state.config is not None and not self._leaving
         reply.whole(200 if ready else 503)
 
     async def _directory(self, req: Incoming, reply: Reply) -> None:
@@ -231,13 +231,13 @@
 
     def _named(self, host: str, region: str) -> Sequence[GatewayVm]:
         """Return the VMs that a caller of a region should use."""
-        knowledge = self._feed.knowledge
-        if knowledge.config is None:
+        routing_state = self._feed.routing_state
+        if routing_state.config is None:
             # Homes aren't known yet; a caller led out of them can't be served there.
             return ()
         return vms_to_name(
             region,
-            homes=knowledge.table.homes(host.lower()),
+            homes=routing_state.route_table.homes(host.lower()),
             regions=set(self._gateway.regions.values()),
             vms_of=self._vms_of,
             settled=self._fleet.settled(),
@@ -256,7 +256,7 @@
         )
 
     async def _state(self, req: Incoming, reply: Reply) -> None:
-        if req.target.decode("latin-1") == STATE_PATH and self._feed.knowledge.config:
+        if req.target.decode("latin-1") == STATE_PATH and self._feed.routing_state.config:
             reply.whole(200, MSGPACK, self._feed.state())
         else:
             reply.whole(404)
--- a/src/hickorybeam/gateway/knowledge.py
+++ b/src/hickorybeam/gateway/routing_state.py
@@ -14,16 +14,16 @@
 if TYPE_CHECKING:
     from hickorybeam.model.routing import RegisteredServer
 
-__all__ = ("Knowledge",)
+__all__ = ("RoutingState",)
 
 
-class Knowledge:
+class RoutingState:
     """The latest state of all that the store holds for the gateway."""
 
     def __init__(self) -> None:
         self.config: RoutingConfig | None = None
-        self.table = RouteTable(())
-        self.standings: dict[str, ServerStanding] = {}
+        self.route_table = RouteTable(())
+        self.server_states: dict[str, ServerStanding] = {}
         self.evacuated: frozenset[str] = frozenset()
         self._by_service: dict[str, dict[str, ServerStanding]] = {}
         self._cold_until: dict[str, int] = {}
@@ -33,7 +33,7 @@
         """Return the limits on callers that are in force."""
         return self.config.callers if self.config else CallerRules()
 
-    def take_config(self, config: RoutingConfig) -> bool:
+    def update_config(self, config: RoutingConfig) -> bool:
         """Take over a configuration unless it is older than the one in force.
 
         A stale read or a lagging peer may hand out an older version; going back would serve
@@ -42,23 +42,23 @@
         if self.config is not None and config.version <= self.config.version:
             return False
         self.config = config
-        self.table = RouteTable(config.routes)
+        self.route_table = RouteTable(config.routes)
         return True
 
-    def take_server(self, server: RegisteredServer, now_ms: int) -> None:
+    def update_server(self, server: RegisteredServer, now_ms: int) -> None:
         """Take over what a server says of itself; a new life starts with a clean record."""
-        standing = self.standings.get(server.id)
+        standing = self.server_states.get(server.id)
         if standing is None or not same_life(standing.server, server):
             self._remove(server.id)
             standing = ServerStanding(server)
-            self.standings[server.id] = standing
+            self.server_states[server.id] = standing
             self._by_service.setdefault(server.service, {})[server.id] = standing
             logging.info("server %s of %s is there", server.id, server.service)
         if server.leaving and not standing.server.leaving:
             logging.info("server %s of %s is leaving", server.id, server.service)
         standing.server = server
         if server.cold_ms > 0:
-            self.cold(server.id, server.cold_ms, now_ms)
+            self.mark_cold(server.id, server.cold_ms, now_ms)
 
     def drop_server(self, server_id: str) -> None:
         """Forget a server that is gone."""
@@ -67,7 +67,7 @@
             self._cold_until.pop(server_id, None)
             self._cold.pop(server_id, None)
 
-    def cold(self, server_id: str, cold_ms: int, now_ms: int) -> None:
+    def mark_cold(self, server_id: str, cold_ms: int, now_ms: int) -> None:
         """Take note that a server stays cold for so long."""
         until = now_ms + cold_ms
         if until > self._cold_until.get(server_id, 0):
@@ -86,19 +86,19 @@
             limit = self._cold[server.id] = ColdLimit(per_s=per_s, now_ms=now_ms)
         return limit
 
-    def servers(self, service: str) -> list[ServerStanding]:
+    def available_servers(self, service: str) -> list[ServerStanding]:
         """Return the servers of a service that are neither leaving nor evacuated."""
         found = self._by_service.get(service, {}).values()
-        return [it for it in found if self.takes_work(it)]
+        return [it for it in found if self.is_available(it)]
 
-    def takes_work(self, standing: ServerStanding) -> bool:
+    def is_available(self, standing: ServerStanding) -> bool:
         """Whether a server is neither leaving nor evacuated."""
         server = standing.server
         return not server.leaving and server.data_centre not in self.evacuated
 
     def _remove(self, server_id: str) -> bool:
         """Take a server out; :return: whether it was there."""
-        standing = self.standings.pop(server_id, None)
+        standing = self.server_states.pop(server_id, None)
         if standing is None:
             return False
         del self._by_service[standing.server.service][server_id]
--- a/src/hickorybeam/gateway/sending.py
+++ b/src/hickorybeam/gateway/sending.py
@@ -18,7 +18,7 @@
     from hickorybeam.gateway.attempt import Errand, Target
     from hickorybeam.gateway.burden import Burden
     from hickorybeam.gateway.endings import Endings
-    from hickorybeam.gateway.knowledge import Knowledge
+    from hickorybeam.gateway.routing_state import RoutingState
     from hickorybeam.gateway.placing import Placing
     from hickorybeam.gateway.progress import Progress
     from hickorybeam.http1 import AnswerHead, UpstreamPool
@@ -39,13 +39,13 @@
         *,
         clock: Clock,
         counters: Counters,
-        knowledge: Knowledge,
+        routing_state: RoutingState,
         placing: Placing,
         pool: UpstreamPool,
         endings: Endings,
     ) -> None:
         self._clock = clock
-        self._knowledge = knowledge
+        self._routing_state = routing_state
         self._placing = placing
         self._pool = pool
         self._endings = endings
@@ -130,7 +130,7 @@
         if facts.load is not None:
             standing.told(busy=facts.load.running + facts.load.waiting, now_ms=now)
         if facts.cold_ms:
-            self._knowledge.cold(standing.server.id, facts.cold_ms, now)
+            self._routing_state.mark_cold(standing.server.id, facts.cold_ms, now)
 
     async def _take_answer(
         self,
--- a/src/hickorybeam/gateway/tell.py
+++ b/src/hickorybeam/gateway/status_report.py
@@ -9,24 +9,24 @@
 from hickorybeam.model.routing import GatewayVm  # noqa: TC001 - msgspec reads the annotation
 
 __all__ = (
-    "NOTHING",
+    "NO_USAGE",
     "Audience",
-    "Granted",
-    "RegionFigures",
-    "ServerFigures",
-    "Tell",
-    "added",
-    "without",
+    "GrantedUsage",
+    "WaitForecast",
+    "ServerUsage",
+    "StatusReport",
+    "add_usage",
+    "subtract_usage",
 )
 
 # Requests that run at a server, prompt tokens that are still to be read there, tokens held.
-ServerFigures = tuple[int, int, int]
-NOTHING: ServerFigures = (0, 0, 0)
+ServerUsage = tuple[int, int, int]
+NO_USAGE: ServerUsage = (0, 0, 0)
 # Figures of places that other VMs gave, by the giver's name and the server's id.
-Granted = dict[str, dict[str, ServerFigures]]
+GrantedUsage = dict[str, dict[str, ServerUsage]]
 # How long an empty prompt would wait in a region, in ms, and how many requests run at the server
 # where it would.
-RegionFigures = tuple[int, int]
+WaitForecast = tuple[int, int]
 
 
 class Audience(Enum):
@@ -37,7 +37,7 @@
     FAR = "far"
 
 
-class Tell(msgspec.Struct, frozen=True, array_like=True, tag="tell"):
+class StatusReport(msgspec.Struct, frozen=True, array_like=True, tag="tell"):
     """What a VM says of itself.
 
     Where ``whole`` is false, ``spent`` and ``servers`` hold only what changed since it was told
@@ -54,23 +54,23 @@
     revision: int
     fresh: bool
     spent: dict[str, float]
-    servers: dict[str, ServerFigures]
-    forecasts: dict[str, RegionFigures]
+    servers: dict[str, ServerUsage]
+    forecasts: dict[str, WaitForecast]
     whole: bool = True
     levels: dict[str, float] | None = None
     vm: GatewayVm | None = None
     holds: dict[str, str] = {}
-    relayed: list[Tell] = []
+    relayed: list[StatusReport] = []
     follows: bool = False
     cold: dict[str, int] = {}
-    granted: Granted = {}
+    granted: GrantedUsage = {}
 
 
-def added(one: ServerFigures, other: ServerFigures) -> ServerFigures:
+def add_usage(one: ServerUsage, other: ServerUsage) -> ServerUsage:
     """Return the sum of two figures."""
     return (one[0] + other[0], one[1] + other[1], one[2] + other[2])
 
 
-def without(one: ServerFigures, other: ServerFigures) -> ServerFigures:
+def subtract_usage(one: ServerUsage, other: ServerUsage) -> ServerUsage:
     """Return what is left of figures."""
     return (one[0] - other[0], one[1] - other[1], one[2] - other[2])
--- a/src/hickorybeam/gateway/figures.py
+++ b/src/hickorybeam/gateway/usage_reporting.py
@@ -4,15 +4,15 @@
 
 from typing import TYPE_CHECKING
 
-from hickorybeam.gateway.tell import NOTHING, added, without
+from hickorybeam.gateway.status_report import NO_USAGE, add_usage, subtract_usage
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
     from hickorybeam.clock import Clock
-    from hickorybeam.gateway.knowledge import Knowledge
+    from hickorybeam.gateway.routing_state import RoutingState
     from hickorybeam.gateway.peers import Peer
-    from hickorybeam.gateway.tell import Granted, ServerFigures
+    from hickorybeam.gateway.status_report import GrantedUsage, ServerUsage
     from hickorybeam.policy.fleet_quota import FleetQuota
 
 __all__ = ("OwnFigures", "spread")
@@ -29,7 +29,7 @@
         self._clock = clock
         self._quota = quota
         self._spends_told: dict[str, float] = {}
-        self._servers_told: dict[str, ServerFigures] = {}
+        self._servers_told: dict[str, ServerUsage] = {}
         self._cold_until: dict[str, int] = {}
 
     def spends(self, *, whole: bool) -> dict[str, float]:
@@ -41,26 +41,26 @@
         return {name: total for name, total in now.items() if before.get(name) != total}
 
     def servers(
-        self, knowledge: Knowledge, granted: Granted, *, whole: bool
-    ) -> dict[str, ServerFigures]:
+        self, routing_state: RoutingState, granted: GrantedUsage, *, whole: bool
+    ) -> dict[str, ServerUsage]:
         """Return what this VM has at each server by its own choice.
 
         :param granted: what it has there by places that others gave it.
         """
         now = {
             name: (it.running, it.reading, it.holding)
-            for name, it in knowledge.standings.items()
+            for name, it in routing_state.server_states.items()
             if it.running or it.reading
         }
         for figures in granted.values():
             for name, figure in figures.items():
-                now[name] = without(now.get(name, NOTHING), figure)
-        now = {name: figure for name, figure in now.items() if figure != NOTHING}
+                now[name] = subtract_usage(now.get(name, NO_USAGE), figure)
+        now = {name: figure for name, figure in now.items() if figure != NO_USAGE}
         if whole:
             return now
         before, self._servers_told = self._servers_told, now
         changed = {name: told for name, told in now.items() if before.get(name) != told}
-        return changed | {name: NOTHING for name in before if name not in now}
+        return changed | {name: NO_USAGE for name in before if name not in now}
 
     def found_cold(self, server_id: str, cold_ms: int) -> None:
         """Take note that a server said of itself that it is cold."""
@@ -73,21 +73,21 @@
         return {name: due - now for name, due in self._cold_until.items()}
 
 
-def spread(knowledge: Knowledge, peers: Iterable[Peer], *, me: str) -> None:
+def spread(routing_state: RoutingState, peers: Iterable[Peer], *, me: str) -> None:
     """Add up what the region's other VMs have at each backend server.
 
     :param peers: those that were heard lately.
     :param me: this VM's name; the places that it gave, it counts itself.
     """
-    totals: dict[str, ServerFigures] = {}
+    totals: dict[str, ServerUsage] = {}
     for peer in peers:
         told = [peer.servers or {}]
         told += [figures for giver, figures in peer.granted.items() if giver != me]
         for figures in told:
             for server, figure in figures.items():
-                totals[server] = added(totals.get(server, NOTHING), figure)
-    for name, standing in knowledge.standings.items():
-        running, reading, holding = totals.get(name, NOTHING)
+                totals[server] = add_usage(totals.get(server, NO_USAGE), figure)
+    for name, standing in routing_state.server_states.items():
+        running, reading, holding = totals.get(name, NO_USAGE)
         standing.elsewhere = running
         standing.reading_elsewhere = reading
         standing.holding_elsewhere = holding
--- a/src/hickorybeam/gateway/who_places.py
+++ b/src/hickorybeam/gateway/who_places.py
@@ -55,13 +55,13 @@
 
     def serving(self) -> list[str]:
         """Return the names of the VMs of this region, this one included."""
-        return [self._me.name, *(vm.name for vm in self._peers.serving(self._me.region))]
+        return [self._me.name, *(vm.name for vm in self._peers.serving_vms(self._me.region))]
 
     def order(self, service: str) -> list[str]:
         """Return the VMs that place a service's prompts, in order; none where each does."""
         order = self._orders.get(service)
         if order is None:
-            steady = self._peers.steady()
+            steady = self._peers.stable_vms()
             if self._stays():
                 steady[self._me.name] = self._me.power
             order = self._orders[service] = placers(service, steady)
--- a/tests/steps/gateway/cut_off_steps.py
+++ b/tests/steps/gateway/cut_off_steps.py
@@ -26,7 +26,7 @@
     table = PeerTable(clock, me)
     for vm in vms:
         if vm != me:
-            table.by_name[vm.name] = Peer(vm, clock.now(), heard_ms=clock.now())
+            table.by_name[vm.name] = Peer(vm, clock.now(), last_seen_ms=clock.now())
     return table
 
 
@@ -51,7 +51,7 @@
         while context.clock.now() < context.begun + ms:
             await context.clock.advance(WORD_EVERY_MS)
             for vm in context.left[1:]:
-                context.left_table.by_name[vm.name].heard_ms = context.clock.now()
+                context.left_table.by_name[vm.name].last_seen_ms = context.clock.now()
 
     context.call(run)
 
@@ -79,10 +79,10 @@
 @then("after {ms:d} ms none counts on another to place")
 def step_none_steady(context, ms):
     pass_to(context, ms)
-    assert not context.left_table.steady()
+    assert not context.left_table.stable_vms()
 
 
 @then("after {ms:d} ms each counts on all others of its region")
 def step_all_steady(context, ms):
     pass_to(context, ms)
-    assert set(context.left_table.steady()) == {it.name for it in context.vms[1:]}
+    assert set(context.left_table.stable_vms()) == {it.name for it in context.vms[1:]}
--- a/tests/steps/gateway/gateway_steps.py
+++ b/tests/steps/gateway/gateway_steps.py
@@ -334,7 +334,7 @@
         rig = context.rig
         rig.app.put(f"op/evacuate/{data_centre}", b"{}")
         await rig.until(
-            lambda: all(data_centre in vm.knowledge.evacuated for vm in rig.vms.values())
+            lambda: all(data_centre in vm.routing_state.evacuated for vm in rig.vms.values())
         )
 
     context.call(evacuate)
@@ -345,7 +345,7 @@
     async def back():
         rig = context.rig
         rig.app.delete(f"op/evacuate/{data_centre}")
-        await rig.until(lambda: not any(vm.knowledge.evacuated for vm in rig.vms.values()))
+        await rig.until(lambda: not any(vm.routing_state.evacuated for vm in rig.vms.values()))
 
     context.call(back)
 
@@ -356,7 +356,7 @@
         rig = context.rig
         rig.servers[name].register(state="draining")
         await rig.until(
-            lambda: all(vm.knowledge.standings[name].server.leaving for vm in rig.vms.values())
+            lambda: all(vm.routing_state.server_states[name].server.leaving for vm in rig.vms.values())
         )
 
     context.call(leaving)
@@ -369,7 +369,7 @@
         rig.servers[name].register(cold_ms=ms, born=77)
         await rig.until(
             lambda: all(
-                vm.knowledge.standings[name].server.born_ms == 77 for vm in rig.vms.values()
+                vm.routing_state.server_states[name].server.born_ms == 77 for vm in rig.vms.values()
             )
         )
 
@@ -462,7 +462,7 @@
     address = f"localhost:{rig.vms[seed].ports.state}"
     manager = rig.vm(name, "north-1", seeds=(address,))
     vm = context.stack.enter_context(context.portal.wrap_async_context_manager(manager))
-    context.call(rig.until, lambda: vm.knowledge.config is not None)
+    context.call(rig.until, lambda: vm.routing_state.config is not None)
 
 
 @then('"{vm}" is not ready')
@@ -489,7 +489,7 @@
     async def out():
         rig = context.rig
         rig.app.stand_in.faults.set_out(True)
-        await rig.until(lambda: not any(vm.feed.follows for vm in rig.vms.values()))
+        await rig.until(lambda: not any(vm.feed.watches_store for vm in rig.vms.values()))
 
     context.call(out)
 
@@ -505,7 +505,7 @@
 
     async def known():
         await context.rig.until(
-            lambda: all(vm.knowledge.is_cold(name, clock.now()) for vm in vms), limit_s=limit
+            lambda: all(vm.routing_state.is_cold(name, clock.now()) for vm in vms), limit_s=limit
         )
 
     context.call(known)
@@ -528,8 +528,8 @@
 
 @then('"{vm}" drops server "{name}" within {limit:d} s')
 def step_drops(context, vm, name, limit):
-    knowledge = context.rig.vms[vm].knowledge
-    context.call(lambda: context.rig.until(lambda: name not in knowledge.standings, limit_s=limit))
+    routing_state = context.rig.vms[vm].routing_state
+    context.call(lambda: context.rig.until(lambda: name not in routing_state.server_states, limit_s=limit))
 
 
 @when('the registration of "{vm}" lapses')
@@ -715,7 +715,7 @@
 @when("the VMs have told each other")
 def step_told_other(context):
     vm = context.rig.vms["s1"]
-    context.call(context.rig.until, lambda: vm.fleet.holders._holders)
+    context.call(context.rig.until, lambda: vm.fleet.prefix_holders._holders)
 
 
 def copied_from(context, server):
@@ -768,9 +768,9 @@
 @when('a caller of "{key}" asks "{vm}" for "{path}" within {limit:d} s of that')
 def step_ask_within(context, key, vm, path, limit):
     version = context.rig.config["version"]
-    knowledge = context.rig.vms[vm].knowledge
+    routing_state = context.rig.vms[vm].routing_state
     context.call(
-        lambda: context.rig.until(lambda: knowledge.config.version == version, limit_s=limit)
+        lambda: context.rig.until(lambda: routing_state.config.version == version, limit_s=limit)
     )
     ask(context, vm, path, key=key)
 
@@ -892,7 +892,7 @@
 @then('"{vm}" still hears {count:d} VMs')
 def step_hears(context, vm, count):
     fleet = context.rig.vms[vm].fleet
-    context.call(context.rig.until, lambda: fleet.heard() == count)
+    context.call(context.rig.until, lambda: fleet.live_vm_count() == count)
 
 
 @given('a small gateway over data centres with VMs "{first}" and "{second}" and a southern region')
@@ -909,7 +909,7 @@
 @then('within {limit:d} s every VM has charged {tokens:d} tokens of "{name}" to "{vm}"')
 def step_charged(context, limit, tokens, name, vm):
     rig = context.rig
-    life = f"{vm}/{rig.vms[vm].fleet.me.incarnation}"
+    life = f"{vm}/{rig.vms[vm].fleet.own_vm.incarnation}"
 
     def charged(other):
         known = other.fleet.quota._peers.get(life)
@@ -989,7 +989,7 @@
             sock.bind(("127.0.0.1", 0))
             rig.servers[name].port = sock.getsockname()[1]
         rig.servers[name].register()
-        standings = [vm.knowledge.standings for vm in rig.vms.values()]
+        standings = [vm.routing_state.server_states for vm in rig.vms.values()]
         port = rig.servers[name].port
         await rig.until(lambda: all(it[name].server.port == port for it in standings))
 
@@ -1033,7 +1033,7 @@
 @given('VM "{name}" has started beside "{other}"')
 def step_started_beside(context, name, other):
     rig = context.rig
-    manager = rig.vm(name, rig.vms[other].fleet.me.data_centre)
+    manager = rig.vm(name, rig.vms[other].fleet.own_vm.data_centre)
     context.stack.enter_context(context.portal.wrap_async_context_manager(manager))
     context.call(rig.settled)
 
@@ -1067,7 +1067,7 @@
         context.at = SystemClock().now()
         context.reads = context.rig.app.stand_in.calls["range"]
         missing = feed._complete + 1
-        feed.told(missing, context.at, source=None)
+        feed.note_peer_revision(missing, context.at, source=None)
         feed._learn(WatchBatch(missing))
         # So far ahead that no change of the gateway's own reaches it.
         context.later = missing + 1_000
@@ -1091,7 +1091,7 @@
 def step_ahead_later(context, seconds):
     async def later():
         context.at += seconds * 1_000
-        context.feed.told(context.later, context.at, source=None)
+        context.feed.note_peer_revision(context.later, context.at, source=None)
         await anyio.sleep(0.2)
 
     context.call(later)
@@ -1148,7 +1148,7 @@
 @then('within {limit:d} s "{vm}" reckons that it hears them {ms:d} ms late, added up')
 def step_lag(context, limit, vm, ms):
     fleet = context.rig.vms[vm].fleet
-    context.call(lambda: context.rig.until(lambda: fleet.region_lag_ms == ms, limit_s=limit))
+    context.call(lambda: context.rig.until(lambda: fleet.report_lag_ms == ms, limit_s=limit))
 
 
 @when('VM "{gone}" has crashed and "{vm}" hears it no more')
@@ -1158,7 +1158,7 @@
         rig.vms[gone].kill()
         peers = rig.vms[vm].fleet.peers
         await rig.until(
-            lambda: gone not in peers.by_name or not peers.is_heard(peers.by_name[gone])
+            lambda: gone not in peers.by_name or not peers.is_live(peers.by_name[gone])
         )
 
     context.call(crash)
--- a/tests/steps/gateway/placing_steps.py
+++ b/tests/steps/gateway/placing_steps.py
@@ -97,7 +97,7 @@
         it.request_id: server.data_centre for server in rig.servers.values() for it in server.ran
     }
     for name, ids in context.by_vm.items():
-        home = rig.vms[name].fleet.me.data_centre
+        home = rig.vms[name].fleet.own_vm.data_centre
         assert {where[it] for it in ids} == {home}, (name, context.placer, ids, where)
 
 
@@ -148,7 +148,7 @@
         return said
 
     for vm in context.rig.vms.values():
-        vm.fleet.say = lossy(vm.fleet.say)
+        vm.fleet.send_message = lossy(vm.fleet.send_message)
 
 
 @then("all prompts are answered and ran once")
@@ -186,7 +186,7 @@
             (it.running, it.reading, it.holding, it.given, it.reading_given, it.holding_given)
             == (0,) * 6
             for vm in context.rig.vms.values()
-            for it in vm.knowledge.standings.values()
+            for it in vm.routing_state.server_states.values()
         )
 
     context.call(lambda: context.rig.until(nothing, limit_s=limit))
@@ -200,7 +200,7 @@
         rig.servers["m1"].register(cold_ms=ms, born=77)
         clock = SystemClock()
         vms = list(rig.vms.values())
-        await rig.until(lambda: all(vm.knowledge.is_cold("m1", clock.now()) for vm in vms))
+        await rig.until(lambda: all(vm.routing_state.is_cold("m1", clock.now()) for vm in vms))
 
     context.call(cold)
     context.before = len(ran(rig, MODEL))
