--- a/src/hickorybeam/gateway/__init__.py
+++ b/src/hickorybeam/gateway/__init__.py
@@ -1,4 +1,4 @@
-"""The gateway's services where configuration and backend servers come from a store."""
+"""Services of the gateway; configuration and backend servers come from the platform's store."""
 
 from __future__ import annotations
 
--- a/src/hickorybeam/gateway/daemon.py
+++ b/src/hickorybeam/gateway/daemon.py
@@ -1,4 +1,4 @@
-"""One VM's daemon in front of backend servers that register in the platform's store."""
+"""Daemon of one gateway VM, whose backend servers register in the platform's store."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def build(cfg: Settings, *, counters: Counters | None = None) -> Kernel:
-    """Put the services together; the adapter's store is one of them."""
+    """Return a kernel with the gateway's services, the client of the platform's store included."""
     clock, counters = SystemClock(), counters or Counters()
     grace_ms = round(cfg.gateway.grace_s * MS_PER_SECOND) if cfg.gateway else 0
     kernel = Kernel(clock, drain_limit_ms=grace_ms)
@@ -35,26 +35,26 @@
 
 
 async def run(cfg: Settings, path: str) -> None:
-    """Serve until SIGTERM or SIGINT; SIGHUP reads the settings anew.
+    """Serve until SIGTERM or SIGINT; SIGHUP reloads the settings.
 
     :param path: the file that the settings came from.
     """
     kernel = build(cfg)
-    settings = SettingsFile(path, cfg, kernel, kernel.clock)
+    settings_file = SettingsFile(path, cfg, kernel, kernel.clock)
 
     async with anyio.create_task_group() as tg:
-        tg.start_soon(_signals, kernel, settings)
-        tg.start_soon(settings.follow)
-        await kernel.run(ready=lambda: logging.info("VM %s serves", cfg.vm.name))
+        tg.start_soon(_handle_signals, kernel, settings_file)
+        tg.start_soon(settings_file.poll)
+        await kernel.run(ready=lambda: logging.info("VM %s is serving", cfg.vm.name))
         tg.cancel_scope.cancel()
-    logging.info("VM %s has ended", cfg.vm.name)
+    logging.info("VM %s has stopped", cfg.vm.name)
 
 
-async def _signals(kernel: Kernel, settings: SettingsFile) -> None:
+async def _handle_signals(kernel: Kernel, settings_file: SettingsFile) -> None:
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
         async for signum in signals:
-            logging.info("signal %s", signal.Signals(signum).name)
+            logging.info("received signal %s", signal.Signals(signum).name)
             if signum is signal.SIGHUP:
-                settings.read()
+                settings_file.reload()
             else:
                 kernel.stop()
--- a/src/hickorybeam/gateway/datagrams.py
+++ b/src/hickorybeam/gateway/datagrams.py
@@ -1,4 +1,4 @@
-"""Datagrams from other VMs, as the event loop hands them over."""
+"""Receiver of datagrams from other VMs."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-__all__ = ("Datagrams",)
+__all__ = ("DatagramReceiver",)
 
 
-class Datagrams(asyncio.DatagramProtocol):
-    """Hands each datagram on.
+class DatagramReceiver(asyncio.DatagramProtocol):
+    """Passes each datagram to a callback.
 
-    :param receive: takes the bytes of one.
+    :param receive: called with the bytes of one datagram.
     """
 
     def __init__(self, receive: Callable[[bytes], None]) -> None:
         self._receive = receive
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Hand one on."""
+        """Pass a datagram to the callback."""
         self._receive(data)
 
     def error_received(self, exc: Exception) -> None:
-        """Note one that couldn't be delivered; what it told is told again soon."""
+        """Log a datagram that was not delivered; later messages repeat its content."""
         logging.debug("datagram not delivered: %s", exc)
--- a/src/hickorybeam/gateway/feed.py
+++ b/src/hickorybeam/gateway/feed.py
@@ -190,7 +190,7 @@
         except msgspec.MsgspecError as exc:
             raise GatewayError(ErrorKind.PEER_UNREACHABLE, repr(exc)) from exc
         self._trouble_ms = max(self._trouble_ms, self._clock.now() - changes.trouble_ms)
-        for batch in changes.as_batches():
+        for batch in changes.to_watch_batches():
             self._learn(batch)
         self._complete = max(self._complete, changes.revision)
 
@@ -204,7 +204,7 @@
         if not self._loaded:
             return None
         trouble_ms = self._clock.now() - self._trouble_ms
-        found = self._log.after(revision, complete_to=self._complete, trouble_ms=trouble_ms)
+        found = self._log.changes_after(revision, complete_to=self._complete, trouble_ms=trouble_ms)
         return None if found is None else msgspec.msgpack.encode(found)
 
     @property
@@ -276,7 +276,7 @@
         latest = max((item.mod_revision for item in result.items), default=0)
         self._apply(WatchBatch(result.revision, result.items, deletes), latest=latest)
         self._complete = max(self._complete, result.revision)
-        self._log.restart(result.revision)
+        self._log.reset(result.revision)
         self._loaded = True
 
     async def _read_while_hearing(self) -> ReadResult:
@@ -347,17 +347,17 @@
                 self.routing_state.update_server(server, self._clock.now())
             case Evacuated(data_centre):
                 logging.info("data centre %s is evacuated", data_centre)
-                self.routing_state.evacuated |= {data_centre}
+                self.routing_state.evacuated_data_centres |= {data_centre}
             case Unreadable(key, why):
                 logging.warning("entry %s names nothing to use: %s", key, why)
-                self.routing_state.drop_server(key.rpartition("/")[2])
+                self.routing_state.remove_server(key.rpartition("/")[2])
 
     def _delete(self, key: str) -> None:
         if key not in self._items:
             return
         if key.startswith(EVACUATIONS):
             del self._items[key]
-            self.routing_state.evacuated -= {key.removeprefix(EVACUATIONS)}
+            self.routing_state.evacuated_data_centres -= {key.removeprefix(EVACUATIONS)}
             logging.info("data centre %s is taken back", key.removeprefix(EVACUATIONS))
         elif self._clock.now() - self._trouble_ms < TROUBLE_MS and self._is_server(key):
             self._lapsing.setdefault(key, self._clock.now() + LAPSED_FOR_MS)
@@ -367,7 +367,7 @@
     def _forget(self, key: str) -> None:
         self._items.pop(key, None)
         if self._is_server(key):
-            self.routing_state.drop_server(key.rpartition("/")[2])
+            self.routing_state.remove_server(key.rpartition("/")[2])
 
     def _is_server(self, key: str) -> bool:
         return key.startswith(FEED_PREFIXES[1])
--- a/src/hickorybeam/gateway/fleet.py
+++ b/src/hickorybeam/gateway/fleet.py
@@ -18,9 +18,9 @@
 import msgspec
 from absl import logging
 
-from hickorybeam.gateway.datagrams import Datagrams
+from hickorybeam.gateway.datagrams import DatagramReceiver
 from hickorybeam.gateway.feed import FeedService
-from hickorybeam.gateway.usage_reporting import OwnFigures, spread
+from hickorybeam.gateway.usage_reporting import OwnUsage, apply_peer_usage
 from hickorybeam.gateway.peers import MIN_STABLE_MS, DISCOVERY_MS, PeerTable
 from hickorybeam.gateway.place_words import Placed, Still, Told, Wanted
 from hickorybeam.gateway.registration import Registration
@@ -78,7 +78,7 @@
         self._regions = cfg.gateway.regions if cfg.gateway else {}
         allowance = cfg.gateway.quota_allowance if cfg.gateway else 0.0
         self.quota = FleetQuota(allowance=allowance)
-        self._figures = OwnFigures(clock, self.quota)
+        self._own_usage = OwnUsage(clock, self.quota)
         self.prefix_holders = PrefixHolders()
         self._leaving_since_ms: int | None = None
         self.forecast: dict[str, WaitForecast] = {}
@@ -180,7 +180,7 @@
 
     def found_cold(self, server_id: str, cold_ms: int) -> None:
         """Tell the region's VMs that a server said of itself that it is cold."""
-        self._figures.found_cold(server_id, cold_ms)
+        self._own_usage.mark_cold(server_id, cold_ms)
 
     def remote_candidates(self, service: str, *, leaving: bool = False) -> list[RemoteCandidate]:
         """Return VMs of other regions that take requests for a service, best first.
@@ -195,7 +195,7 @@
         self._peer_socket = bound_socket(self._cfg.vm.host, self.own_vm.peer_port)
         port = self._peer_socket.getsockname()[1]
         self._transport, _ = await loop.create_datagram_endpoint(
-            lambda: Datagrams(self.receive), local_addr=(self._cfg.vm.host, port)
+            lambda: DatagramReceiver(self.receive), local_addr=(self._cfg.vm.host, port)
         )
         self.own_vm = replace(self.own_vm, peer_port=port)
         started()
@@ -232,7 +232,7 @@
 
     async def _register(self) -> None:
         await self._serving.wait()
-        await self._registration.hold(self.own_vm)
+        await self._registration.keep_registered(self.own_vm)
 
     def _take_config(self) -> None:
         config = self._feed.routing_state.config
@@ -249,7 +249,7 @@
                 self.peers.unregistered(key.removeprefix(prefix))
         self.peers.prune()
         if self._registration.key in batch.deletes:
-            self._registration.lapsed()
+            self._registration.entry_deleted()
 
     async def _talk_near(self) -> None:
         while True:
@@ -260,7 +260,7 @@
             self._adapt()
             self.quota.reach(1 + self.peers.spending_together(), self.known_vm_count(), now)
             heard = [it for it in self.peers.by_name.values() if self.peers.is_live(it)]
-            spread(self._feed.routing_state, heard, me=self.own_vm.name)
+            apply_peer_usage(self._feed.routing_state, heard, own_name=self.own_vm.name)
             self._tell_near()
 
     async def _talk_outside(self) -> None:
@@ -345,7 +345,7 @@
             revision=self._feed.revision,
             follows=self._feed.watches_store,
             fresh=self._fresh,
-            spent=self._figures.spends(whole=whole),
+            spent=self._own_usage.spent(whole=whole),
             servers={} if far else self._servers(granted, whole=whole),
             forecasts=self.forecast if far else {},
             whole=whole,
@@ -354,12 +354,12 @@
             # Peers may not know it: a VM that restarts while the store is out isn't registered.
             vm=None if self._registration.held else self.own_vm,
             holds={} if answer else self.prefix_holders.news(audience.value),
-            cold={} if far else self._figures.cold_left(),
+            cold={} if far else self._own_usage.remaining_cold_ms(),
             granted=granted,
         )
 
     def _servers(self, granted: GrantedUsage, *, whole: bool) -> dict[str, ServerUsage]:
-        return self._figures.servers(self._feed.routing_state, granted, whole=whole)
+        return self._own_usage.server_usage(self._feed.routing_state, granted, whole=whole)
 
     def receive(self, data: bytes) -> None:
         """Take what a peer says."""
--- a/src/hickorybeam/gateway/registration.py
+++ b/src/hickorybeam/gateway/registration.py
@@ -1,4 +1,4 @@
-"""This VM's entry in the store, held under a lease through outages of the store."""
+"""This VM's entry in the store, kept under a lease across outages of the store."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
 
 __all__ = ("Registration",)
 
-# A registration only tells who is there at all; whether a VM lives is heard from it. So the
-# lease is long, which saves calls.
+# A registration only announces that a VM exists; its status reports show that it is live. So the
+# lease can be long, which saves calls to the store.
 LEASE_MS = 12_000
-RENEW_MS = 4_000
-RETRY_MS = 400
-WITHDRAW_LIMIT_S = 1.0
+RENEW_INTERVAL_MS = 4_000
+RETRY_INTERVAL_MS = 400
+WITHDRAW_TIMEOUT_S = 1.0
 
 
 class Registration:
-    """Keeps an entry in the store.
+    """Creates and renews this VM's entry in the store.
 
     :param key: the entry's key.
     """
@@ -39,33 +39,33 @@
         self._clock = clock
         self._lease = 0
         self._leaving = False
-        self._lapsed = anyio.Event()
+        self._expired = anyio.Event()
 
     @property
     def held(self) -> bool:
-        """Whether the entry is there, as far as is known."""
+        """Whether the entry exists, as far as this VM knows."""
         return self._lease != 0
 
-    def lapsed(self) -> None:
-        """Register again at once: the entry is gone."""
+    def entry_deleted(self) -> None:
+        """Register again at once after the entry was deleted, unless this VM shuts down."""
         if not self._leaving:
             self._lease = 0
-            self._lapsed.set()
+            self._expired.set()
 
-    async def hold(self, vm: GatewayVm) -> None:
-        """Register and renew until withdrawn."""
+    async def keep_registered(self, vm: GatewayVm) -> None:
+        """Register and renew the lease until withdrawn."""
         while not self._leaving:
-            pause = RENEW_MS
+            interval_ms = RENEW_INTERVAL_MS
             try:
                 await self._renew(vm)
             except GatewayError as exc:
                 if exc.kind is ErrorKind.LEASE_LOST:
-                    logging.info("registration lapsed, registering again")
+                    logging.info("registration lease expired, registering again")
                     self._lease = 0
-                pause = RETRY_MS
-            self._lapsed = anyio.Event()
-            with anyio.move_on_after(pause / MS_PER_SECOND):
-                await self._lapsed.wait()
+                interval_ms = RETRY_INTERVAL_MS
+            self._expired = anyio.Event()
+            with anyio.move_on_after(interval_ms / MS_PER_SECOND):
+                await self._expired.wait()
 
     async def _renew(self, vm: GatewayVm) -> None:
         if self._lease:
@@ -76,10 +76,10 @@
         self._lease = lease
 
     async def withdraw(self) -> None:
-        """Remove the entry; without the store it lapses with its lease."""
+        """Delete the entry; if the store is unreachable, it expires with its lease."""
         self._leaving = True
         try:
-            with anyio.move_on_after(WITHDRAW_LIMIT_S):
+            with anyio.move_on_after(WITHDRAW_TIMEOUT_S):
                 await self._store.txn((), (Delete(self.key),))
         except GatewayError as exc:
-            logging.info("left without the store: %s", exc)
+            logging.info("registration not deleted, it expires with its lease: %s", exc)
--- a/src/hickorybeam/gateway/relay.py
+++ b/src/hickorybeam/gateway/relay.py
@@ -114,7 +114,7 @@
                         handler,
                         clock=self._clock,
                         tasks=tg,
-                        limits=self._feed.routing_state.callers,
+                        limits=self._feed.routing_state.caller_limits,
                         on_malformed=self._malformed,
                     )
                     await server.listen_on(sock)
--- a/src/hickorybeam/gateway/reload.py
+++ b/src/hickorybeam/gateway/reload.py
@@ -1,4 +1,4 @@
-"""Settings read anew while the daemon runs: on SIGHUP, or when the file has changed."""
+"""Reload of the settings file while the daemon runs: on SIGHUP, or when the file has changed."""
 
 from __future__ import annotations
 
@@ -16,28 +16,28 @@
     from hickorybeam.kernel import Kernel
     from hickorybeam.settings import GatewaySettings, Settings
 
-__all__ = ("Reloads", "SettingsFile")
+__all__ = ("Reloadable", "SettingsFile")
 
-# The file may change with no signal; a look at its time costs some microseconds.
-LOOK_EVERY_MS = 2_000
-# What a running daemon takes over; everything else needs a restart.
-TAKEN_OVER = frozenset(
+# The file may change without a SIGHUP; checking its modification time takes some microseconds.
+CHECK_INTERVAL_MS = 2_000
+# Fields of the section `gateway` that apply without a restart; all others need one.
+RELOADABLE_FIELDS = frozenset(
     {"seeds", "regions", "grace_s", "repeat_ratio", "repeat_allowance", "repeat_window_s"}
     | {"quota_allowance"}
 )
 
 
 @runtime_checkable
-class Reloads(Protocol):
-    """A service that takes over changed settings."""
+class Reloadable(Protocol):
+    """A service that applies changed settings while it runs."""
 
     def reload(self, cfg: GatewaySettings) -> None:
-        """Act on these settings from now on."""
+        """Apply new settings."""
         ...
 
 
 class SettingsFile:
-    """The file that the daemon was started with.
+    """The settings file that the daemon was started with; reloads it into the services.
 
     :param cfg: the settings in force.
     """
@@ -47,43 +47,46 @@
         self._cfg = cfg
         self._kernel = kernel
         self._clock = clock
-        self._seen = self._stamp()
+        self._last_stamp = self._stamp()
 
-    async def follow(self) -> None:
-        """Read the file whenever it has changed, until cancelled."""
+    async def poll(self) -> None:
+        """Reload the file whenever it has changed, until cancelled."""
         while True:
-            await self._clock.sleep(LOOK_EVERY_MS)
-            if self._stamp() != self._seen:
-                self.read()
+            await self._clock.sleep(CHECK_INTERVAL_MS)
+            if self._stamp() != self._last_stamp:
+                self.reload()
 
-    def read(self) -> None:
-        """Read the file; one with faults changes nothing."""
-        self._seen = self._stamp()
+    def reload(self) -> None:
+        """Read the file and apply its settings; an invalid file changes nothing."""
+        self._last_stamp = self._stamp()
         try:
             cfg = load_settings(self._path)
         except GatewayError as exc:
-            logging.warning("settings stay as they were, the file has faults: %s", exc)
+            logging.warning("settings not reloaded, the file is invalid: %s", exc)
             return
         if cfg.gateway is None or self._cfg.gateway is None:
             return
         changed = changed_fields(self._cfg.gateway, cfg.gateway)
-        logging.info("settings read anew, changed: %s", ", ".join(sorted(changed)) or "nothing")
-        for name in sorted(changed - TAKEN_OVER):
-            logging.warning("settings: gateway.%s needs a restart to change", name)
+        logging.info("settings reloaded, changed: %s", ", ".join(sorted(changed)) or "nothing")
+        for name in sorted(changed - RELOADABLE_FIELDS):
+            logging.warning(
+                "settings: a change of gateway.%s takes effect only after a restart", name
+            )
         self._cfg = cfg
         for service in self._kernel.services():
-            if isinstance(service, Reloads):
+            if isinstance(service, Reloadable):
                 service.reload(cfg.gateway)
 
     def _stamp(self) -> tuple[int, int]:
+        """Return the file's modification time and size, the last known ones on an error."""
         try:
-            found = os.stat(self._path)
+            status = os.stat(self._path)
         except OSError as exc:
-            logging.warning("the settings file cannot be looked at: %s", exc)
-            return self._seen if hasattr(self, "_seen") else (0, 0)
-        return found.st_mtime_ns, found.st_size
+            logging.warning("cannot check the settings file: %s", exc)
+            return self._last_stamp if hasattr(self, "_last_stamp") else (0, 0)
+        return status.st_mtime_ns, status.st_size
 
 
 def changed_fields(old: GatewaySettings, new: GatewaySettings) -> set[str]:
-    """Return the names of the fields that differ."""
+    """Return the names of the fields whose values differ."""
     return {it.name for it in fields(old) if getattr(old, it.name) != getattr(new, it.name)}
--- a/src/hickorybeam/gateway/routing_state.py
+++ b/src/hickorybeam/gateway/routing_state.py
@@ -1,4 +1,7 @@
-"""What one VM knows: configuration, backend servers, evacuations; written by the feed only."""
+"""State that requests are routed by: configuration, backend servers, evacuations.
+
+The feed writes it; status reports, health checks and responses only mark servers as cold.
+"""
 
 from __future__ import annotations
 
@@ -18,26 +21,28 @@
 
 
 class RoutingState:
-    """The latest state of all that the store holds for the gateway."""
+    """Latest state of the gateway's entries in the store, as this VM knows them."""
 
     def __init__(self) -> None:
         self.config: RoutingConfig | None = None
         self.route_table = RouteTable(())
         self.server_states: dict[str, ServerStanding] = {}
-        self.evacuated: frozenset[str] = frozenset()
+        self.evacuated_data_centres: frozenset[str] = frozenset()
         self._by_service: dict[str, dict[str, ServerStanding]] = {}
         self._cold_until: dict[str, int] = {}
-        self._cold: dict[str, ColdLimit] = {}
+        self._cold_limits: dict[str, ColdLimit] = {}
 
-    def callers(self) -> CallerRules:
-        """Return the limits on callers that are in force."""
+    def caller_limits(self) -> CallerRules:
+        """Return the limits on callers' requests that are in force."""
         return self.config.callers if self.config else CallerRules()
 
     def update_config(self, config: RoutingConfig) -> bool:
-        """Take over a configuration unless it is older than the one in force.
+        """Apply a configuration if it is newer than the one in force.
+
+        A stale read or a lagging VM may return an older version; applying it would bring back
+        revoked keys and removed routes.
 
-        A stale read or a lagging peer may hand out an older version; going back would serve
-        withdrawn keys and routes again.
+        :return: whether it was applied.
         """
         if self.config is not None and config.version <= self.config.version:
             return False
@@ -46,65 +51,68 @@
         return True
 
     def update_server(self, server: RegisteredServer, now_ms: int) -> None:
-        """Take over what a server says of itself; a new life starts with a clean record."""
-        standing = self.server_states.get(server.id)
-        if standing is None or not same_life(standing.server, server):
+        """Apply a server's registration; a new incarnation starts with a new state."""
+        state = self.server_states.get(server.id)
+        if state is None or not same_incarnation(state.server, server):
             self._remove(server.id)
-            standing = ServerStanding(server)
-            self.server_states[server.id] = standing
-            self._by_service.setdefault(server.service, {})[server.id] = standing
-            logging.info("server %s of %s is there", server.id, server.service)
-        if server.leaving and not standing.server.leaving:
-            logging.info("server %s of %s is leaving", server.id, server.service)
-        standing.server = server
+            state = ServerStanding(server)
+            self.server_states[server.id] = state
+            self._by_service.setdefault(server.service, {})[server.id] = state
+            logging.info("server %s of service %s registered", server.id, server.service)
+        if server.leaving and not state.server.leaving:
+            logging.info("server %s of service %s is leaving", server.id, server.service)
+        state.server = server
         if server.cold_ms > 0:
             self.mark_cold(server.id, server.cold_ms, now_ms)
 
-    def drop_server(self, server_id: str) -> None:
-        """Forget a server that is gone."""
+    def remove_server(self, server_id: str) -> None:
+        """Remove a server whose entry is gone."""
         if self._remove(server_id):
-            logging.info("server %s is gone", server_id)
+            logging.info("server %s removed", server_id)
             self._cold_until.pop(server_id, None)
-            self._cold.pop(server_id, None)
+            self._cold_limits.pop(server_id, None)
 
     def mark_cold(self, server_id: str, cold_ms: int, now_ms: int) -> None:
-        """Take note that a server stays cold for so long."""
+        """Record that a server stays cold for at least this long from now on."""
         until = now_ms + cold_ms
         if until > self._cold_until.get(server_id, 0):
             self._cold_until[server_id] = until
 
     def is_cold(self, server_id: str, now_ms: int) -> bool:
-        """Whether a server is still cold."""
+        """Return whether a server is still cold."""
         return now_ms < self._cold_until.get(server_id, 0)
 
     def cold_limit(self, server: RegisteredServer, now_ms: int) -> ColdLimit:
-        """Return this VM's part of what a cold server may get."""
-        limit = self._cold.get(server.id)
+        """Return the rate limiter of this VM's requests to a cold server."""
+        limit = self._cold_limits.get(server.id)
         if limit is None:
             spec = self.config.services.get(server.service) if self.config else None
             per_s = spec.cold_per_s if spec else 0.0
-            limit = self._cold[server.id] = ColdLimit(per_s=per_s, now_ms=now_ms)
+            limit = self._cold_limits[server.id] = ColdLimit(per_s=per_s, now_ms=now_ms)
         return limit
 
     def available_servers(self, service: str) -> list[ServerStanding]:
-        """Return the servers of a service that are neither leaving nor evacuated."""
+        """Return the available servers of a service."""
         found = self._by_service.get(service, {}).values()
         return [it for it in found if self.is_available(it)]
 
-    def is_available(self, standing: ServerStanding) -> bool:
-        """Whether a server is neither leaving nor evacuated."""
-        server = standing.server
-        return not server.leaving and server.data_centre not in self.evacuated
+    def is_available(self, state: ServerStanding) -> bool:
+        """Return whether a server is neither leaving nor in an evacuated data centre."""
+        server = state.server
+        return not server.leaving and server.data_centre not in self.evacuated_data_centres
 
     def _remove(self, server_id: str) -> bool:
-        """Take a server out; :return: whether it was there."""
-        standing = self.server_states.pop(server_id, None)
-        if standing is None:
+        """Remove a server's state.
+
+        :return: whether there was one.
+        """
+        state = self.server_states.pop(server_id, None)
+        if state is None:
             return False
-        del self._by_service[standing.server.service][server_id]
+        del self._by_service[state.server.service][server_id]
         return True
 
 
-def same_life(old: RegisteredServer, new: RegisteredServer) -> bool:
-    """Whether two entries under one id speak of the same start of a server."""
+def same_incarnation(old: RegisteredServer, new: RegisteredServer) -> bool:
+    """Return whether two registrations with one id are of the same start of a server."""
     return old.born_ms == new.born_ms and old.service == new.service
--- a/src/hickorybeam/gateway/status_report.py
+++ b/src/hickorybeam/gateway/status_report.py
@@ -1,4 +1,4 @@
-"""What VMs tell each other in datagrams."""
+"""Periodic status report that each VM sends to others in datagrams."""
 
 from __future__ import annotations
 
@@ -19,18 +19,18 @@
     "subtract_usage",
 )
 
-# Requests that run at a server, prompt tokens that are still to be read there, tokens held.
+# Usage of a server: running requests, prompt tokens not yet prefilled, tokens held in its memory.
 ServerUsage = tuple[int, int, int]
 NO_USAGE: ServerUsage = (0, 0, 0)
-# Figures of places that other VMs gave, by the giver's name and the server's id.
+# Usage in slots that other VMs granted, by the granting VM's name and the server's id.
 GrantedUsage = dict[str, dict[str, ServerUsage]]
-# How long an empty prompt would wait in a region, in ms, and how many requests run at the server
-# where it would.
+# Expected wait of an empty prompt in a region, in ms, and the number of requests in flight at the
+# server with that wait.
 WaitForecast = tuple[int, int]
 
 
 class Audience(Enum):
-    """Whom a VM tells: its data centre, its region's others, or other regions."""
+    """Receivers of a report: the own data centre, the region's other ones, or other regions."""
 
     NEAR = "near"
     ASIDE = "aside"
@@ -38,13 +38,13 @@
 
 
 class StatusReport(msgspec.Struct, frozen=True, array_like=True, tag="tell"):
-    """What a VM says of itself.
+    """Status of one VM, and the reports that it relays (``relayed``).
 
-    Where ``whole`` is false, ``spent`` and ``servers`` hold only what changed since it was told
-    last; a lost datagram is made good by the next whole one. ``follows``: it watches the store
-    and reaches it. ``cold`` tells for how many ms servers stay cold that it found so itself; told
-    on by others, it would grow by the way of each word. ``granted`` is what this VM has at servers
-    by places that others gave it, by their names, and no part of ``servers``.
+    If ``whole`` is false, ``spent`` and ``servers`` hold only what changed since the last report;
+    the next whole report makes up for a lost datagram. ``follows``: the VM watches the store and
+    reaches it. ``cold``: remaining ms of servers that it found cold itself; relayed by others, the
+    time would grow by each message's delay. ``granted``: usage in slots that other VMs granted,
+    not included in ``servers``.
     """
 
     name: str
@@ -67,10 +67,10 @@
 
 
 def add_usage(one: ServerUsage, other: ServerUsage) -> ServerUsage:
-    """Return the sum of two figures."""
+    """Return the sum of two usages."""
     return (one[0] + other[0], one[1] + other[1], one[2] + other[2])
 
 
 def subtract_usage(one: ServerUsage, other: ServerUsage) -> ServerUsage:
-    """Return what is left of figures."""
+    """Return a usage less another one."""
     return (one[0] - other[0], one[1] - other[1], one[2] - other[2])
--- a/src/hickorybeam/gateway/usage_reporting.py
+++ b/src/hickorybeam/gateway/usage_reporting.py
@@ -1,4 +1,4 @@
-"""What a VM tells of itself in figures: whole, or only what changed since it told them last."""
+"""Usage figures of status reports: this VM's own, whole or as changes, and the sum of others'."""
 
 from __future__ import annotations
 
@@ -10,84 +10,86 @@
     from collections.abc import Iterable
 
     from hickorybeam.clock import Clock
-    from hickorybeam.gateway.routing_state import RoutingState
     from hickorybeam.gateway.peers import Peer
+    from hickorybeam.gateway.routing_state import RoutingState
     from hickorybeam.gateway.status_report import GrantedUsage, ServerUsage
     from hickorybeam.policy.fleet_quota import FleetQuota
 
-__all__ = ("OwnFigures", "spread")
+__all__ = ("OwnUsage", "apply_peer_usage")
 
 
-class OwnFigures:
-    """This VM's spends, what it has at servers, and which servers it found cold.
+class OwnUsage:
+    """What accounts spent at this VM, its usage of servers, and the servers that it found cold.
 
-    Only words to the data centre are not whole; what others are told in between must not count
-    as told to it.
+    Only reports to the own data centre are incremental. Whole reports, which go to others too,
+    don't change what counts as last reported there.
     """
 
     def __init__(self, clock: Clock, quota: FleetQuota) -> None:
         self._clock = clock
         self._quota = quota
-        self._spends_told: dict[str, float] = {}
-        self._servers_told: dict[str, ServerUsage] = {}
+        self._last_spent: dict[str, float] = {}
+        self._last_usage: dict[str, ServerUsage] = {}
         self._cold_until: dict[str, int] = {}
 
-    def spends(self, *, whole: bool) -> dict[str, float]:
-        """Return totals by account."""
+    def spent(self, *, whole: bool) -> dict[str, float]:
+        """Return the spent totals by account, only those that changed unless ``whole``."""
         now = {name: round(total, 1) for name, total in self._quota.totals().items()}
         if whole:
             return now
-        before, self._spends_told = self._spends_told, now
+        before, self._last_spent = self._last_spent, now
         return {name: total for name, total in now.items() if before.get(name) != total}
 
-    def servers(
+    def server_usage(
         self, routing_state: RoutingState, granted: GrantedUsage, *, whole: bool
     ) -> dict[str, ServerUsage]:
-        """Return what this VM has at each server by its own choice.
+        """Return this VM's usage of servers outside granted slots.
+
+        Unless ``whole``, only what changed since the last incremental report.
 
-        :param granted: what it has there by places that others gave it.
+        :param granted: its usage in slots that other VMs granted.
         """
         now = {
             name: (it.running, it.reading, it.holding)
             for name, it in routing_state.server_states.items()
             if it.running or it.reading
         }
-        for figures in granted.values():
-            for name, figure in figures.items():
-                now[name] = subtract_usage(now.get(name, NO_USAGE), figure)
-        now = {name: figure for name, figure in now.items() if figure != NO_USAGE}
+        for granted_usage in granted.values():
+            for name, usage in granted_usage.items():
+                now[name] = subtract_usage(now.get(name, NO_USAGE), usage)
+        now = {name: usage for name, usage in now.items() if usage != NO_USAGE}
         if whole:
             return now
-        before, self._servers_told = self._servers_told, now
-        changed = {name: told for name, told in now.items() if before.get(name) != told}
+        before, self._last_usage = self._last_usage, now
+        changed = {name: usage for name, usage in now.items() if before.get(name) != usage}
         return changed | {name: NO_USAGE for name in before if name not in now}
 
-    def found_cold(self, server_id: str, cold_ms: int) -> None:
-        """Take note that a server said of itself that it is cold."""
+    def mark_cold(self, server_id: str, cold_ms: int) -> None:
+        """Record that a server reported itself as cold."""
         self._cold_until[server_id] = self._clock.now() + cold_ms
 
-    def cold_left(self) -> dict[str, int]:
-        """Return for how many ms the servers that were found cold stay so."""
+    def remaining_cold_ms(self) -> dict[str, int]:
+        """Return the remaining cold time of the servers found cold, by server id."""
         now = self._clock.now()
-        self._cold_until = {name: due for name, due in self._cold_until.items() if due > now}
-        return {name: due - now for name, due in self._cold_until.items()}
+        self._cold_until = {name: until for name, until in self._cold_until.items() if until > now}
+        return {name: until - now for name, until in self._cold_until.items()}
 
 
-def spread(routing_state: RoutingState, peers: Iterable[Peer], *, me: str) -> None:
-    """Add up what the region's other VMs have at each backend server.
+def apply_peer_usage(routing_state: RoutingState, peers: Iterable[Peer], *, own_name: str) -> None:
+    """Set the usage of each backend server by the region's other VMs.
 
-    :param peers: those that were heard lately.
-    :param me: this VM's name; the places that it gave, it counts itself.
+    :param peers: the live VMs.
+    :param own_name: this VM's name. Slots that it granted are left out: it counts them itself.
     """
     totals: dict[str, ServerUsage] = {}
     for peer in peers:
-        told = [peer.servers or {}]
-        told += [figures for giver, figures in peer.granted.items() if giver != me]
-        for figures in told:
-            for server, figure in figures.items():
-                totals[server] = add_usage(totals.get(server, NO_USAGE), figure)
-    for name, standing in routing_state.server_states.items():
+        reported = [peer.servers or {}]
+        reported += [usages for grantor, usages in peer.granted.items() if grantor != own_name]
+        for usages in reported:
+            for server, usage in usages.items():
+                totals[server] = add_usage(totals.get(server, NO_USAGE), usage)
+    for name, state in routing_state.server_states.items():
         running, reading, holding = totals.get(name, NO_USAGE)
-        standing.elsewhere = running
-        standing.reading_elsewhere = reading
-        standing.holding_elsewhere = holding
+        state.elsewhere = running
+        state.reading_elsewhere = reading
+        state.holding_elsewhere = holding
--- a/tests/steps/gateway/changes_steps.py
+++ b/tests/steps/gateway/changes_steps.py
@@ -7,50 +7,50 @@
 from hickorybeam.store import KeyValue, WatchBatch
 
 
-@given("a log of changes that begins after revision {revision:d}")
-def step_log(context, revision):
+@given("a change log that is complete after revision {revision:d}")
+def step_change_log(context, revision):
     context.log = ChangeLog()
-    context.log.restart(revision)
+    context.log.reset(revision)
 
 
-@when("changes of {size:d} bytes come at revisions {first:d} to {last:d}")
-def step_changes(context, size, first, last):
+@when("changes of {size:d} bytes arrive at revisions {first:d} to {last:d}")
+def step_add_changes(context, size, first, last):
     for revision in range(first, last + 1):
         item = KeyValue("k", b"x" * (size - 1), revision)
         context.log.add(WatchBatch(revision, (item,)))
 
 
-@when("everything is read anew at revision {revision:d}")
-def step_anew(context, revision):
-    context.log.restart(revision)
+@when("everything is read from the store at revision {revision:d}")
+def step_full_read(context, revision):
+    context.log.reset(revision)
 
 
-def after(context, revision):
-    """Return what another VM would be told, as it reads it."""
-    found = context.log.after(revision, complete_to=5_000, trouble_ms=0)
-    if found is None:
+def batches_after(context, revision):
+    """Return the batches that another VM decodes from the response, ``None`` if there is none."""
+    changes = context.log.changes_after(revision, complete_to=5_000, trouble_ms=0)
+    if changes is None:
         return None
-    return decode_changes(msgspec.msgpack.encode(found)).as_batches()
+    return decode_changes(msgspec.msgpack.encode(changes)).to_watch_batches()
 
 
-@then('a VM that knows {revision:d} gets the changes "{wanted}"')
-@then('a VM that knows {revision:d} gets the changes ""')
-def step_gets(context, revision, wanted=""):
-    found = [batch.revision for batch in after(context, revision)]
+@then('a VM at revision {revision:d} gets the changes "{wanted}"')
+@then('a VM at revision {revision:d} gets the changes ""')
+def step_gets_changes(context, revision, wanted=""):
+    found = [batch.revision for batch in batches_after(context, revision)]
     assert found == [int(it) for it in wanted.split(",") if it], found
 
 
-@then("a VM that knows {revision:d} gets {count:d} changes")
-def step_gets_many(context, revision, count):
-    assert len(after(context, revision)) == count
+@then("a VM at revision {revision:d} gets {count:d} changes")
+def step_gets_change_count(context, revision, count):
+    assert len(batches_after(context, revision)) == count
 
 
-@then("a VM that knows {revision:d} is told to read the store")
-def step_reads(context, revision):
-    assert after(context, revision) is None
+@then("a VM at revision {revision:d} has to read the store")
+def step_must_read_store(context, revision):
+    assert batches_after(context, revision) is None
 
 
-@then("no more than {most:d} bytes are kept")
-def step_bytes(context, most):
+@then("at most {max_bytes:d} bytes are kept")
+def step_kept_bytes(context, max_bytes):
     kept = sum(len(put.value) + len(put.key) for it in context.log._batches for put in it.puts)
-    assert kept <= most, kept
+    assert kept <= max_bytes, kept
--- a/tests/steps/gateway/gateway_steps.py
+++ b/tests/steps/gateway/gateway_steps.py
@@ -334,7 +334,7 @@
         rig = context.rig
         rig.app.put(f"op/evacuate/{data_centre}", b"{}")
         await rig.until(
-            lambda: all(data_centre in vm.routing_state.evacuated for vm in rig.vms.values())
+            lambda: all(data_centre in vm.routing_state.evacuated_data_centres for vm in rig.vms.values())
         )
 
     context.call(evacuate)
@@ -345,7 +345,7 @@
     async def back():
         rig = context.rig
         rig.app.delete(f"op/evacuate/{data_centre}")
-        await rig.until(lambda: not any(vm.routing_state.evacuated for vm in rig.vms.values()))
+        await rig.until(lambda: not any(vm.routing_state.evacuated_data_centres for vm in rig.vms.values()))
 
     context.call(back)
 
@@ -807,7 +807,7 @@
         rig = context.rig
         rig.servers["m1"].work_ms = 200
         async with anyio.create_task_group() as tg:
-            tg.start_soon(context.file.follow)
+            tg.start_soon(context.file.poll)
 
             async def stream():
                 context.stream = await rig.call(
@@ -828,7 +828,7 @@
 @when('its settings file says "{line}" and it reads it')
 def step_changed(context, line):
     write_settings(context, line)
-    context.call(context.file.read)
+    context.call(context.file.reload)
 
 
 @then("within {limit:d} s its repeats are bounded by {allowance:d}")
