--- a/src/hickorybeam/gateway/feed.py
+++ b/src/hickorybeam/gateway/feed.py
@@ -1,9 +1,9 @@
-"""The service ``feed``: keeps this VM's knowledge in step with the store.
+"""The service ``feed``: keeps this VM's routing state in step with the store.
 
-One read loads everything and one watch over all keys follows. In a large data centre a few VMs
-watch and the others ask one of them for the changes, on hearing that it knows a later one.
-While the store is out, what is known stays in force; a VM that knows no configuration asks
-another VM for its entries.
+One read loads everything, then one watch over all keys follows the changes. In a large data
+centre only a few VMs watch; the others request the changes from one of them when its status
+report shows a later revision. While the store is unavailable, the known state stays in force; a
+VM without a configuration fetches the entries of another VM.
 """
 
 from __future__ import annotations
@@ -45,22 +45,23 @@
 __all__ = ("CHANGES_PATH", "STATE_PATH", "FeedService")
 
 STATE_PATH = "/state"
-# Followed by the revision after which changes are asked for; on the peers' port.
+# On the peers' port, followed by the revision after which changes are requested.
 CHANGES_PATH = "/changes/"
-FIRST_RETRY_MS = 100
-LONGEST_RETRY_MS = 1_200
-# Entries that lapsed while the store was out are back about 2 s after its return; one that is
-# still missing then is gone.
-LAPSED_FOR_MS = 2_200
-# How long after the last sign of trouble a vanished entry may be a lapsed one.
-TROUBLE_MS = 3_000
-# For so long another VM may know of a change that has not come here yet. A VM that watches has
-# it within two rests of its own watch; one that doesn't is told by those that do.
-BEHIND_MS = 1_000
+INITIAL_RETRY_MS = 100
+MAX_RETRY_MS = 1_200
+# Servers whose leases expired during an outage of the store register again about 2 s after its
+# return; an entry still missing then is gone for good.
+SERVER_RECOVERY_MS = 2_200
+# A server entry deleted within this time after the last failure of the store is taken to have
+# expired with it.
+RECENT_FAILURE_MS = 3_000
+# Longest lag behind another VM's revision, on top of the pauses of watches: a watcher receives a
+# change within two pauses of its own watch, any other VM from the watchers.
+MAX_LAG_MS = 1_000
 
 
 class FeedService(Service):
-    """Owns the knowledge; others read it and are told of changes."""
+    """Owns the routing state and notifies listeners of its changes."""
 
     name: ClassVar[str] = FEED
     needs: ClassVar[tuple[str, ...]] = (PLATFORM,)
@@ -69,228 +70,233 @@
         self.routing_state = RoutingState()
         self._cfg = cfg
         self._clock = clock
-        self._items: dict[str, KeyValue] = {}
-        self._listeners: list[Callable[[WatchBatch], None]] = []
+        self._entries: dict[str, KeyValue] = {}
+        self._batch_listeners: list[Callable[[WatchBatch], None]] = []
         self._config_listeners: list[Callable[[], None]] = []
-        self._trouble_ms = -TROUBLE_MS
-        self._reached_ms = -LAPSED_FOR_MS
-        self._lapsing: dict[str, int] = {}
-        self._store_ok = False
-        # The latest change known here, told to other VMs; and how far knowledge is complete.
+        self._last_failure_ms = -RECENT_FAILURE_MS
+        self._recovered_ms = -SERVER_RECOVERY_MS
+        self._removal_due_ms: dict[str, int] = {}
+        self._store_reachable = False
+        # Revision of the latest change known here, sent in status reports; and the revision up to
+        # which the state is complete.
         self.revision = 0
-        self._complete = 0
+        self._complete_revision = 0
         self._loaded = False
-        self._log = ChangeLog()
-        # Whether this VM watches the store itself, and whom it asks otherwise.
-        self.watches = True
+        self._change_log = ChangeLog()
+        # Whether this VM watches the store itself; otherwise it requests changes from `_source`.
+        self.is_watcher = True
         self._source: Address | None = None
-        self._news = anyio.Event()
-        self._configured = anyio.Event()
+        self._changes_available = anyio.Event()
+        self._config_known = anyio.Event()
         self._seeds = cfg.gateway.seeds if cfg.gateway else ()
-        # Since when another VM has known a later change, and which.
-        self._behind_since_ms: int | None = None
-        self._missing = 0
-        self._watching = anyio.CancelScope()
-        self._asker = VmAsker(clock)
-        self._version = counters.gauge("config_version", "Version of the configuration in force")
+        # Since when another VM has had a later revision, and that revision.
+        self._lagging_since_ms: int | None = None
+        self._missing_revision = 0
+        self._follow_scope = anyio.CancelScope()
+        self._vm_client = VmAsker(clock)
+        self._version_gauge = counters.gauge(
+            "config_version", "Version of the configuration in force"
+        )
 
     def bind(self, kernel: Kernel) -> None:
         """Look up the store."""
         self._store = kernel.find(PLATFORM, PacedPlatform)  # type: ignore[type-abstract]
 
     def reload(self, cfg: GatewaySettings) -> None:
-        """Ask these seeds from now on."""
+        """Use the new seeds."""
         self._seeds = cfg.seeds
 
     def on_batch(self, listener: Callable[[WatchBatch], None]) -> None:
-        """Hand every batch of changes to a listener."""
-        self._listeners.append(listener)
+        """Register a listener for every batch of changes."""
+        self._batch_listeners.append(listener)
 
     def on_config(self, listener: Callable[[], None]) -> None:
-        """Call a listener whenever another configuration is in force."""
+        """Register a listener that is called when another configuration comes into force."""
         self._config_listeners.append(listener)
 
-    def state(self) -> bytes:
-        """Return all entries as this VM knows them, for a VM that cannot reach the store."""
-        return encode_entries(self._items.values())
+    def encode_state(self) -> bytes:
+        """Return all known entries, encoded for a VM that cannot reach the store."""
+        return encode_entries(self._entries.values())
 
     async def main(self, started: Started) -> None:
         """Follow the store until cancelled."""
         started()
         async with anyio.create_task_group() as tg:
             tg.start_soon(self._follow)
-            tg.start_soon(self._expire)
-            tg.start_soon(self._ask_seeds)
+            tg.start_soon(self._remove_expired)
+            tg.start_soon(self._bootstrap_from_seeds)
 
     async def _follow(self) -> None:
-        pause = FIRST_RETRY_MS
+        retry_ms = INITIAL_RETRY_MS
         while True:
             try:
                 if not self._loaded:
-                    await self._ask_beside()
-                    await self._load()
-                pause = FIRST_RETRY_MS
-                with anyio.CancelScope() as self._watching:
-                    await (self._watch() if self.watches else self._hear())
+                    await self._fetch_from_source()
+                    await self._read_all()
+                retry_ms = INITIAL_RETRY_MS
+                with anyio.CancelScope() as self._follow_scope:
+                    await (self._watch() if self.is_watcher else self._follow_source())
                 continue
             except GatewayError as exc:
                 self._loaded = False
-                self._trouble_ms = self._clock.now()
-                self._lost(exc)
-            await self._clock.sleep(pause)
-            pause = min(LONGEST_RETRY_MS, pause * 2)
+                self._last_failure_ms = self._clock.now()
+                self._record_failure(exc)
+            await self._clock.sleep(retry_ms)
+            retry_ms = min(MAX_RETRY_MS, retry_ms * 2)
 
-    async def _ask_beside(self) -> bool:
-        """Ask a VM that follows the store for changes, before this one reads it anew.
+    async def _fetch_from_source(self) -> bool:
+        """Request changes from a live watcher before this VM reads the store again.
 
-        :return: whether it told them. One that didn't is not asked again before it is heard to
-            know something new.
+        The store may reject this VM but serve others in its data centre. Without their changes,
+        this VM would use old entries for as long as that lasts; requested only after its reads
+        had failed, they would report servers that turned cold seconds late.
 
-        A store that turns this VM away may serve the ones beside it. Without their word it would
-        act on old entries for as long as that lasts. Asked only after the attempts to read had
-        failed, they would tell it seconds later of servers that turned cold.
+        :return: whether it sent them. If not, it is asked again only after it reports a later
+            revision.
         """
-        if self._source is None or not self._complete:
+        if self._source is None or not self._complete_revision:
             return False
         try:
-            await self._ask_changes(self._source)
+            await self._fetch_changes(self._source)
         except GatewayError as exc:
-            logging.info("no changes from another VM: %s", exc)
+            logging.info("cannot get changes from another VM: %s", exc)
             self._source = None
             return False
         return True
 
-    def _lost(self, exc: GatewayError) -> None:
+    def _record_failure(self, exc: GatewayError) -> None:
         if exc.kind is ErrorKind.WATCH_COMPACTED:
-            logging.info("store: history is gone, reading all again")
+            logging.info("store: history was compacted, reading all entries again")
             return
-        if self._store_ok:
-            logging.warning("store lost: %s", exc)
-        self._store_ok = False
+        if self._store_reachable:
+            logging.warning("store unreachable: %s", exc)
+        self._store_reachable = False
 
     async def _watch(self) -> None:
-        async for batch in self._store.watch("", after=self._complete):
-            self._regained()
-            self._learn(batch)
+        async for batch in self._store.watch("", after=self._complete_revision):
+            self._mark_reachable()
+            self._receive(batch)
 
-    async def _hear(self) -> None:
-        """Ask another VM for changes whenever it is heard to know some; the store if it can't."""
+    async def _follow_source(self) -> None:
+        """Request changes whenever another VM has some; return if the store must be read."""
         while True:
-            await self._news.wait()
-            self._news = anyio.Event()
-            # Without a source, the VM that had news was asked before and didn't tell them.
-            if self._source is not None and not await self._ask_beside():
+            await self._changes_available.wait()
+            self._changes_available = anyio.Event()
+            # Without a source, the VM that has the changes was asked before and did not send them.
+            if self._source is not None and not await self._fetch_from_source():
                 self._loaded = False
                 return
 
-    async def _ask_changes(self, source: Address) -> None:
-        raw = await self._asker.get(source, f"{CHANGES_PATH}{self._complete}")
+    async def _fetch_changes(self, source: Address) -> None:
+        raw = await self._vm_client.get(source, f"{CHANGES_PATH}{self._complete_revision}")
         try:
             changes = decode_changes(raw)
         except msgspec.MsgspecError as exc:
             raise GatewayError(ErrorKind.PEER_UNREACHABLE, repr(exc)) from exc
-        self._trouble_ms = max(self._trouble_ms, self._clock.now() - changes.trouble_ms)
+        self._last_failure_ms = max(self._last_failure_ms, self._clock.now() - changes.trouble_ms)
         for batch in changes.to_watch_batches():
-            self._learn(batch)
-        self._complete = max(self._complete, changes.revision)
+            self._receive(batch)
+        self._complete_revision = max(self._complete_revision, changes.revision)
 
     async def wait_for_config(self, limit_ms: float) -> None:
-        """Wait until any configuration is known, or until the limit has passed."""
+        """Wait until a configuration is known, or until the limit has passed."""
         with anyio.move_on_after(limit_ms / MS_PER_SECOND):
-            await self._configured.wait()
+            await self._config_known.wait()
 
     def changes_after(self, revision: int) -> bytes | None:
-        """Return the changes after a revision for another VM, if they are all known."""
+        """Return the encoded changes after a revision, ``None`` if some are not known here."""
         if not self._loaded:
             return None
-        trouble_ms = self._clock.now() - self._trouble_ms
-        found = self._log.changes_after(revision, complete_to=self._complete, trouble_ms=trouble_ms)
+        trouble_ms = self._clock.now() - self._last_failure_ms
+        found = self._change_log.changes_after(
+            revision, complete_to=self._complete_revision, trouble_ms=trouble_ms
+        )
         return None if found is None else msgspec.msgpack.encode(found)
 
     @property
     def watches_store(self) -> bool:
-        """Whether this VM watches the store and reaches it, so that others may ask it."""
-        return self.watches and self._loaded and self._store_ok
+        """Whether this VM watches the store and reaches it, so that others may request changes."""
+        return self.is_watcher and self._loaded and self._store_reachable
 
-    def watch_itself(self, watches: bool) -> None:
-        """Watch the store from now on, or leave that to others of the data centre."""
-        if watches != self.watches:
-            logging.info("this VM %s the store", "watches" if watches else "hears others watch")
-            self.watches = watches
-            self._watching.cancel()
+    def set_watcher(self, is_watcher: bool) -> None:
+        """Watch the store from now on, or leave that to other VMs of the data centre."""
+        if is_watcher != self.is_watcher:
+            logging.info("this VM %s the store", "watches" if is_watcher else "no longer watches")
+            self.is_watcher = is_watcher
+            self._follow_scope.cancel()
 
     def note_peer_revision(self, revision: int, now_ms: int, *, source: Address | None) -> None:
-        """Take another VM's word on the latest change that it knows.
+        """Process the revision that another VM reported.
 
-        :param source: where to ask for it, if it is one that this VM may ask.
+        :param source: address to request its changes from; ``None`` if it can't provide them.
         """
-        if revision > self._complete and source is not None:
+        if revision > self._complete_revision and source is not None:
             self._source = source
-            self._news.set()
-        self._behind(revision, now_ms)
+            self._changes_available.set()
+        self._check_lag(revision, now_ms)
 
-    def _behind(self, revision: int, now_ms: int) -> None:
-        """Read anew when another VM has known a later change for a while.
+    def _check_lag(self, revision: int, now_ms: int) -> None:
+        """Read all entries again if another VM has had a later revision for too long.
 
-        A connection that went silent for good shows no error; without another VM's word it
-        would be found only when the call's own limit has passed.
+        A connection that silently broke shows no error; without other VMs' reports it would be
+        detected only when the call itself times out.
 
-        :param revision: the latest change that the other VM knows.
+        :param revision: the other VM's revision.
         """
-        if self._complete >= self._missing:
-            self._behind_since_ms = None
-        if revision <= self._complete or not self._store_ok:
-            # While the store is out, the attempts to reach it go on anyway.
+        if self._complete_revision >= self._missing_revision:
+            self._lagging_since_ms = None
+        if revision <= self._complete_revision or not self._store_reachable:
+            # During an outage of the store, reads are retried anyway.
             return
-        if self._behind_since_ms is None:
-            self._behind_since_ms, self._missing = now_ms, revision
-        rests = 2 if self.watches else 1
-        if now_ms - self._behind_since_ms > BEHIND_MS + rests * self._store.watch_rest_ms:
-            logging.info("another VM knows of change %d, reading anew", revision)
-            self._behind_since_ms = None
+        if self._lagging_since_ms is None:
+            self._lagging_since_ms, self._missing_revision = now_ms, revision
+        pauses = 2 if self.is_watcher else 1
+        if now_ms - self._lagging_since_ms > MAX_LAG_MS + pauses * self._store.watch_rest_ms:
+            logging.info("another VM has revision %d, reading all entries again", revision)
+            self._lagging_since_ms = None
             self._loaded = False
-            self._watching.cancel()
+            self._follow_scope.cancel()
 
     def server_recovery_ms(self, now_ms: int) -> int:
-        """Return how long servers' entries that lapsed with the store may take to come back."""
-        return max(0, self._reached_ms + LAPSED_FOR_MS - now_ms)
-
-    def _regained(self) -> None:
-        if not self._store_ok:
-            logging.info("store reached")
-            self._reached_ms = self._clock.now()
-        self._store_ok = True
-
-    async def _load(self) -> None:
-        """Read everything."""
-        result = await self._read_while_hearing()
-        self._regained()
-        if result.revision < self._complete:
-            # Another VM told later changes meanwhile; this read would take them back.
+        """Return the remaining time in which servers may register again after an outage."""
+        return max(0, self._recovered_ms + SERVER_RECOVERY_MS - now_ms)
+
+    def _mark_reachable(self) -> None:
+        if not self._store_reachable:
+            logging.info("store reachable")
+            self._recovered_ms = self._clock.now()
+        self._store_reachable = True
+
+    async def _read_all(self) -> None:
+        """Read all entries from the store and apply them."""
+        result = await self._read_while_fetching()
+        self._mark_reachable()
+        if result.revision < self._complete_revision:
+            # Another VM has sent later changes meanwhile; applying this read would undo them.
             self._loaded = True
             return
         found = {item.key for item in result.items}
-        deletes = tuple(key for key in self._items if key not in found)
-        # The revision of a read counts every write to the store; told to other VMs, it would
-        # make all of them read anew, for nothing, one after the other.
+        deletes = tuple(key for key in self._entries if key not in found)
+        # The read's own revision counts every write to the store. Reported to other VMs, it would
+        # make all of them, one after the other, read all entries again for nothing.
         latest = max((item.mod_revision for item in result.items), default=0)
         self._apply(WatchBatch(result.revision, result.items, deletes), latest=latest)
-        self._complete = max(self._complete, result.revision)
-        self._log.reset(result.revision)
+        self._complete_revision = max(self._complete_revision, result.revision)
+        self._change_log.reset(result.revision)
         self._loaded = True
 
-    async def _read_while_hearing(self) -> ReadResult:
-        """Read all keys, and go on learning from the VM beside while the answer is waited for.
+    async def _read_while_fetching(self) -> ReadResult:
+        """Read all keys, and keep fetching changes from another VM while the read is pending.
 
-        A read that the store leaves unanswered takes seconds to fail. Deaf meanwhile, a VM would
-        learn of an evacuation that much later and send at the full rate to a server that had
-        turned cold.
+        A read that the store leaves unanswered takes seconds to fail. Without the changes made
+        meanwhile, this VM would act on an evacuation that much later, and send at the full rate
+        to a server that had turned cold.
         """
         found: ReadResult | GatewayError
         async with anyio.create_task_group() as tg:
-            tg.start_soon(self._hear_meanwhile)
+            tg.start_soon(self._fetch_repeatedly)
             try:
-                # One read of all keys: the store holds little else, and each call is paid for.
+                # One read of all keys: the store holds little else, and each call is billed.
                 found = await self._store.read_prefix("")
             except GatewayError as exc:
                 found = exc
@@ -299,48 +305,48 @@
             raise found
         return found
 
-    async def _hear_meanwhile(self) -> None:
+    async def _fetch_repeatedly(self) -> None:
         while True:
-            await self._news.wait()
-            self._news = anyio.Event()
-            await self._ask_beside()
+            await self._changes_available.wait()
+            self._changes_available = anyio.Event()
+            await self._fetch_from_source()
 
-    def _learn(self, batch: WatchBatch) -> None:
-        """Take a batch that a watch brought, here or at another VM."""
+    def _receive(self, batch: WatchBatch) -> None:
+        """Apply a batch from a watch, this VM's or another's, and keep it in the change log."""
         changed = bool(batch.puts or batch.deletes)
         self._apply(batch, latest=batch.revision if changed else 0)
-        self._complete = max(self._complete, batch.revision)
-        self._log.add(batch)
+        self._complete_revision = max(self._complete_revision, batch.revision)
+        self._change_log.add(batch)
 
     def _apply(self, batch: WatchBatch, *, latest: int) -> None:
-        """Take entries over and tell listeners.
+        """Apply a batch to the entries and notify listeners.
 
-        :param latest: the latest change among them, 0 if there is none.
+        :param latest: revision of the latest change in it, 0 if there is none.
         """
         self.revision = max(self.revision, latest)
         for item in batch.puts:
             if not item.key.startswith((*FEED_PREFIXES, self._cfg.platform.prefix)):
                 continue
-            known = self._items.get(item.key)
+            known = self._entries.get(item.key)
             if known is not None and known.mod_revision >= item.mod_revision:
                 continue
-            self._items[item.key] = item
-            self._lapsing.pop(item.key, None)
-            self._take(item)
+            self._entries[item.key] = item
+            self._removal_due_ms.pop(item.key, None)
+            self._apply_entry(item)
         for key in batch.deletes:
             self._delete(key)
-        for listener in self._listeners:
+        for listener in self._batch_listeners:
             listener(batch)
 
-    def _take(self, item: KeyValue) -> None:
+    def _apply_entry(self, item: KeyValue) -> None:
         if item.key.startswith(self._cfg.platform.prefix):
             return
         match decode_entry(item.key, item.value):
             case NewConfig(config):
                 if self.routing_state.update_config(config):
-                    logging.info("configuration %d is in force", config.version)
-                    self._version.set(config.version)
-                    self._configured.set()
+                    logging.info("configuration version %d is in force", config.version)
+                    self._version_gauge.set(config.version)
+                    self._config_known.set()
                     for listener in self._config_listeners:
                         listener()
             case ServerSeen(server):
@@ -348,61 +354,64 @@
             case Evacuated(data_centre):
                 logging.info("data centre %s is evacuated", data_centre)
                 self.routing_state.evacuated_data_centres |= {data_centre}
-            case Unreadable(key, why):
-                logging.warning("entry %s names nothing to use: %s", key, why)
+            case Unreadable(key, reason):
+                logging.warning("invalid entry %s ignored: %s", key, reason)
                 self.routing_state.remove_server(key.rpartition("/")[2])
 
     def _delete(self, key: str) -> None:
-        if key not in self._items:
+        """Handle the deletion of an entry; keep a server's for a while after a store failure."""
+        if key not in self._entries:
             return
         if key.startswith(EVACUATIONS):
-            del self._items[key]
+            del self._entries[key]
             self.routing_state.evacuated_data_centres -= {key.removeprefix(EVACUATIONS)}
-            logging.info("data centre %s is taken back", key.removeprefix(EVACUATIONS))
-        elif self._clock.now() - self._trouble_ms < TROUBLE_MS and self._is_server(key):
-            self._lapsing.setdefault(key, self._clock.now() + LAPSED_FOR_MS)
+            logging.info("data centre %s is in use again", key.removeprefix(EVACUATIONS))
+        elif self._clock.now() - self._last_failure_ms < RECENT_FAILURE_MS and self._is_server_key(
+            key
+        ):
+            self._removal_due_ms.setdefault(key, self._clock.now() + SERVER_RECOVERY_MS)
         else:
-            self._forget(key)
+            self._remove(key)
 
-    def _forget(self, key: str) -> None:
-        self._items.pop(key, None)
-        if self._is_server(key):
+    def _remove(self, key: str) -> None:
+        self._entries.pop(key, None)
+        if self._is_server_key(key):
             self.routing_state.remove_server(key.rpartition("/")[2])
 
-    def _is_server(self, key: str) -> bool:
+    def _is_server_key(self, key: str) -> bool:
         return key.startswith(FEED_PREFIXES[1])
 
-    async def _expire(self) -> None:
-        """Give up the entries that lapsed with the store and did not come back."""
+    async def _remove_expired(self) -> None:
+        """Remove servers that expired with the store and did not register again in time."""
         while True:
             await self._clock.sleep(200)
             now = self._clock.now()
-            for key in [key for key, due in self._lapsing.items() if due <= now]:
-                del self._lapsing[key]
-                self._forget(key)
+            for key in [key for key, due_ms in self._removal_due_ms.items() if due_ms <= now]:
+                del self._removal_due_ms[key]
+                self._remove(key)
 
-    async def _ask_seeds(self) -> None:
-        """Learn a configuration from another VM while the store cannot be reached.
+    async def _bootstrap_from_seeds(self) -> None:
+        """Fetch entries from another VM while no configuration could be read from the store.
 
-        Without it, a VM that starts during an outage of the store refuses everything until the
-        store is back, although the VMs beside it serve.
+        Otherwise a VM that starts during an outage of the store would refuse all requests until
+        the store is back, although the VMs around it serve.
         """
         await self._clock.sleep(600)
         while self.routing_state.config is None:
             for seed in self._seeds:
                 if self.routing_state.config is None:
-                    await self._ask(seed)
+                    await self._fetch_state(seed)
             await self._clock.sleep(500)
 
-    async def _ask(self, seed: str) -> None:
+    async def _fetch_state(self, seed: str) -> None:
         address = split_address(seed)
         if address[0] == self._cfg.vm.host:
             return
         try:
-            items = decode_entries(await self._asker.get(address, STATE_PATH))
+            items = decode_entries(await self._vm_client.get(address, STATE_PATH))
         except (GatewayError, msgspec.MsgspecError) as exc:
-            logging.info("seed %s tells nothing: %r", seed, exc)
+            logging.info("cannot get entries from seed %s: %r", seed, exc)
             return
-        logging.info("%d entries learned from %s", len(items), seed)
+        logging.info("got %d entries from seed %s", len(items), seed)
         if self.routing_state.config is None:
             self._apply(WatchBatch(0, tuple(items)), latest=0)
--- a/src/hickorybeam/gateway/fleet.py
+++ b/src/hickorybeam/gateway/fleet.py
@@ -277,7 +277,7 @@
         self.quota.silent_ms = self.peers.quota_peer_timeout_ms()
         self._store.watch_rest_ms = watch_rest_ms(watching)
         self._store.watch_wait_ms = watch_wait_ms(watching)
-        self._feed.watch_itself(watches_itself(self.own_vm.name, self._heard_near()))
+        self._feed.set_watcher(watches_itself(self.own_vm.name, self._heard_near()))
         self.report_lag_ms = self.peers.report_lag_ms()
 
     def _heard_near(self) -> dict[str, bool]:
--- a/src/hickorybeam/gateway/relay.py
+++ b/src/hickorybeam/gateway/relay.py
@@ -257,7 +257,7 @@
 
     async def _state(self, req: Incoming, reply: Reply) -> None:
         if req.target.decode("latin-1") == STATE_PATH and self._feed.routing_state.config:
-            reply.whole(200, MSGPACK, self._feed.state())
+            reply.whole(200, MSGPACK, self._feed.encode_state())
         else:
             reply.whole(404)
 
--- a/tests/steps/gateway/gateway_steps.py
+++ b/tests/steps/gateway/gateway_steps.py
@@ -435,7 +435,7 @@
     async def older():
         config = {**first_config(), "version": version}
         item = KeyValue("op/config", msgspec.json.encode(config), 1_000_000)
-        context.rig.vms[vm].feed._learn(WatchBatch(1_000_000, (item,)))
+        context.rig.vms[vm].feed._receive(WatchBatch(1_000_000, (item,)))
 
     context.call(older)
 
@@ -478,7 +478,7 @@
         rig = context.rig
         rig.app.stand_in.faults.set_out(True)
         vms = rig.vms.values()
-        await rig.until(lambda: not any(vm.feed._store_ok for vm in vms))
+        await rig.until(lambda: not any(vm.feed._store_reachable for vm in vms))
         rig.servers[name].withdraw()
 
     context.call(lapse)
@@ -521,7 +521,7 @@
     async def back():
         rig = context.rig
         rig.app.stand_in.faults.set_out(False)
-        await rig.until(lambda: all(vm.feed._store_ok for vm in rig.vms.values()))
+        await rig.until(lambda: all(vm.feed._store_reachable for vm in rig.vms.values()))
 
     context.call(back)
 
@@ -740,7 +740,7 @@
         rig = context.rig
         # New watches work: the one that waits now hears nothing more.
         rig.app.deaf_watches = 1
-        rig.vms[vm].feed._watching.cancel()
+        rig.vms[vm].feed._follow_scope.cancel()
         await rig.until(lambda: rig.app.deaf_watches == 0)
         withdraw_key(rig, name)
 
@@ -1066,9 +1066,9 @@
         feed = context.feed = context.rig.vms[vm].feed
         context.at = SystemClock().now()
         context.reads = context.rig.app.stand_in.calls["range"]
-        missing = feed._complete + 1
+        missing = feed._complete_revision + 1
         feed.note_peer_revision(missing, context.at, source=None)
-        feed._learn(WatchBatch(missing))
+        feed._receive(WatchBatch(missing))
         # So far ahead that no change of the gateway's own reaches it.
         context.later = missing + 1_000
 
@@ -1081,7 +1081,7 @@
         rig, feed = context.rig, context.feed
         rig.app.put("other/x", b"1")
         wanted = rig.app.stand_in.store.revision
-        await rig.until(lambda: feed._complete >= wanted)
+        await rig.until(lambda: feed._complete_revision >= wanted)
 
     context.call(change)
 
@@ -1121,7 +1121,7 @@
             raise GatewayError(ErrorKind.PLATFORM_OUT, kind)
 
         feed._store._call = unanswered
-        feed._watching.cancel()
+        feed._follow_scope.cancel()
         withdraw_key(rig, name)
 
     context.call(silence)
--- a/tests/steps/gateway/watchers_steps.py
+++ b/tests/steps/gateway/watchers_steps.py
@@ -9,7 +9,7 @@
 
 
 def watchers(rig):
-    return {name: vm for name, vm in rig.vms.items() if vm.feed.watches}
+    return {name: vm for name, vm in rig.vms.items() if vm.feed.is_watcher}
 
 
 @when("{count:d} VMs watch the store")
@@ -62,7 +62,7 @@
         raise GatewayError(ErrorKind.PLATFORM_OUT, "status 503")
 
     vm.feed._store._call = refused
-    vm.feed._watching.cancel()
+    vm.feed._follow_scope.cancel()
 
 
 @when('the watchers have forgotten all changes and the key of "{name}" is withdrawn')
