--- a/src/hickorybeam/gateway/cold_health_checks.py
+++ b/src/hickorybeam/gateway/cold_health_checks.py
@@ -1,4 +1,4 @@
-"""The service ``cold_asking``: finds servers that turn cold while nobody tells changes."""
+"""The service ``cold_asking``: detects servers that turn cold while no store changes arrive."""
 
 from __future__ import annotations
 
@@ -27,13 +27,13 @@
 
 __all__ = ("ColdHealthCheckService",)
 
-# A server that has a free place answers at once.
-ANSWER_LIMIT_MS = 250
+# A server with a free slot responds at once.
+RESPONSE_TIMEOUT_MS = 250
 HOST_HEADER = ((b"host", b"server"),)
 
 
 class ColdHealthCheckService(Service):
-    """Asks servers of this region for their health while this VM hears of no changes."""
+    """Checks the health of this region's servers while this VM receives no changes of the store."""
 
     name: ClassVar[str] = COLD_ASKING
     needs: ClassVar[tuple[str, ...]] = (FEED, FLEET)
@@ -41,60 +41,62 @@
     def __init__(self, *, cfg: Settings, clock: Clock, counters: Counters) -> None:
         self._clock = clock
         self._log = DecisionLog(clock)
-        self._pool = UpstreamPool(clock, connect_ms=ANSWER_LIMIT_MS, silent_ms=ANSWER_LIMIT_MS)
-        self._asked = counters.counter("health_questions", "Health questions to backend servers")
+        self._pool = UpstreamPool(
+            clock, connect_ms=RESPONSE_TIMEOUT_MS, silent_ms=RESPONSE_TIMEOUT_MS
+        )
+        self._checks = counters.counter("health_questions", "Health checks of backend servers")
 
     def bind(self, kernel: Kernel) -> None:
-        """Look up neighbours."""
+        """Look up the feed and the fleet."""
         self._feed = kernel.find(FEED, FeedService)
         self._fleet = kernel.find(FLEET, FleetService)
 
     async def main(self, started: Started) -> None:
-        """Ask until cancelled."""
+        """Check at intervals until cancelled."""
         started()
         while True:
             await self._clock.sleep(ASK_EVERY_MS)
-            if self._feed.watches_store or self._fleet.told_beside():
+            if self._feed.watches_store or self._fleet.has_local_watcher():
                 continue
             async with anyio.create_task_group() as tg:
-                for server, health_path in self._due():
-                    tg.start_soon(self._ask, server, health_path)
+                for server, health_path in self._servers_to_check():
+                    tg.start_soon(self._check, server, health_path)
 
-    def _due(self) -> list[tuple[RegisteredServer, str]]:
-        """Return this VM's servers of services that tell how much a cold one bears.
+    def _servers_to_check(self) -> list[tuple[RegisteredServer, str]]:
+        """Return the servers that this VM has to check, each with its health path.
 
-        Beside each is the path at which it is asked.
+        Only servers of services with a rate limit for cold ones are checked.
         """
         routing_state = self._feed.routing_state
         services = routing_state.config.services if routing_state.config else {}
-        here = {
+        candidates = {
             it.server.id: (it.server, spec.health_path)
             for service, spec in services.items()
             if spec.cold_per_s > 0
             for it in routing_state.available_servers(service)
             if self._fleet.in_own_region(it.server.data_centre)
         }
-        mine = servers_to_ask(
-            self._fleet.own_vm.name, servers=here, vms=self._fleet.who_places.serving()
+        own = servers_to_ask(
+            self._fleet.own_vm.name, servers=candidates, vms=self._fleet.who_places.serving()
         )
-        return [here[name] for name in mine]
+        return [candidates[name] for name in own]
 
-    async def _ask(self, server: RegisteredServer, health_path: str) -> None:
+    async def _check(self, server: RegisteredServer, health_path: str) -> None:
         address = (server.host, server.port)
         try:
-            with anyio.fail_after(ANSWER_LIMIT_MS / MS_PER_SECOND):
-                cold_ms = await self._cold_ms(address, health_path)
+            with anyio.fail_after(RESPONSE_TIMEOUT_MS / MS_PER_SECOND):
+                cold_ms = await self._query_cold_ms(address, health_path)
         except (ConnectFailedError, BrokenAnswerError, TimeoutError) as exc:
             self._log.note("no_health", server=server.id, why=repr(exc))
             self._pool.forget(address)
             return
         if cold_ms:
             self._feed.routing_state.mark_cold(server.id, cold_ms, self._clock.now())
-            self._fleet.found_cold(server.id, cold_ms)
+            self._fleet.report_cold(server.id, cold_ms)
 
-    async def _cold_ms(self, address: Address, health_path: str) -> int | None:
-        """Return for how long a server stays cold by its own word."""
-        self._asked.inc()
+    async def _query_cold_ms(self, address: Address, health_path: str) -> int | None:
+        """Return how long a server says that it stays cold, in ms."""
+        self._checks.inc()
         conn = await self._pool.take(address)
         try:
             conn.send(request_bytes("GET", health_path.encode(), HOST_HEADER, b""))
--- a/src/hickorybeam/gateway/fleet.py
+++ b/src/hickorybeam/gateway/fleet.py
@@ -1,9 +1,9 @@
-"""The service ``fleet``: which VMs there are, what they spend, and how loaded they are.
+"""The service ``fleet``: which VMs there are, what accounts spend there, and their server usage.
 
-Each VM registers itself in the store under a lease, and tells its peers about itself in
-datagrams: running totals of what accounts spent, what it has at backend servers, and how long
-a request would wait in its region. A lost datagram loses nothing, since all figures are whole
-or told whole again soon.
+Each VM registers itself in the store under a lease, and sends status reports to the others in
+datagrams: running totals of what accounts spent, its usage of backend servers, and the expected
+wait in its region. A lost datagram does no lasting harm, since every report is whole or soon
+followed by a whole one.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
 
 from hickorybeam.gateway.datagrams import DatagramReceiver
 from hickorybeam.gateway.feed import FeedService
-from hickorybeam.gateway.usage_reporting import OwnUsage, apply_peer_usage
-from hickorybeam.gateway.peers import MIN_STABLE_MS, DISCOVERY_MS, PeerTable
+from hickorybeam.gateway.peers import DISCOVERY_MS, MIN_STABLE_MS, PeerTable
 from hickorybeam.gateway.place_words import Placed, Still, Told, Wanted
 from hickorybeam.gateway.registration import Registration
 from hickorybeam.gateway.status_report import Audience, StatusReport
+from hickorybeam.gateway.usage_reporting import OwnUsage, apply_peer_usage
 from hickorybeam.gateway.who_places import WhoPlaces
 from hickorybeam.kernel import Service
 from hickorybeam.model.routing import GatewayVm
@@ -51,7 +51,7 @@
 
     from hickorybeam.clock import Clock
     from hickorybeam.gateway.peers import Peer, RemoteCandidate
-    from hickorybeam.gateway.status_report import GrantedUsage, WaitForecast, ServerUsage
+    from hickorybeam.gateway.status_report import GrantedUsage, ServerUsage, WaitForecast
     from hickorybeam.http1.pool import Address
     from hickorybeam.kernel import Kernel, Started
     from hickorybeam.settings import GatewaySettings, Settings
@@ -59,14 +59,14 @@
 
 __all__ = ("FleetService",)
 
-# All that VMs say to each other in datagrams.
+# All messages that VMs send each other in datagrams.
 PeerMessage = StatusReport | Wanted | Placed | Told | Still
-# Figures of servers that didn't change are told again after so many times.
-WHOLE_EVERY = 10
+# One in this many reports to the own data centre is whole; the others hold only what changed.
+WHOLE_REPORT_EVERY = 10
 
 
 class FleetService(Service):
-    """Knows the other VMs and keeps the quotas in step with theirs."""
+    """Tracks the other VMs and exchanges status reports with them."""
 
     name: ClassVar[str] = FLEET
     needs: ClassVar[tuple[str, ...]] = (PLATFORM, FEED)
@@ -81,8 +81,8 @@
         self._own_usage = OwnUsage(clock, self.quota)
         self.prefix_holders = PrefixHolders()
         self._leaving_since_ms: int | None = None
-        self.forecast: dict[str, WaitForecast] = {}
-        # How late the region's other VMs are heard, added up over them, in ms.
+        self.region_forecasts: dict[str, WaitForecast] = {}
+        # Sum of the report intervals of the region's other VMs.
         self.report_lag_ms = 0.0
         self.own_vm = GatewayVm(
             name=cfg.vm.name,
@@ -95,245 +95,253 @@
             power=cfg.vm.power,
         )
         self.peers = PeerTable(clock, self.own_vm)
-        self.who_places = WhoPlaces(self.own_vm, self.peers, self._stays)
-        self._words: dict[type[PeerMessage], Callable[[Any], None]] = {StatusReport: self._take_word}
-        # What this VM has at servers by places that others gave it.
+        self.who_places = WhoPlaces(self.own_vm, self.peers, self._is_stable)
+        self._message_handlers: dict[type[PeerMessage], Callable[[Any], None]] = {
+            StatusReport: self._handle_report
+        }
+        # Returns this VM's usage of servers in slots that other VMs granted.
         self.granted_usage: Callable[[], GrantedUsage] = dict
         self._relayed: list[StatusReport] = []
         self._rng = random.Random()
-        self._times = 0
-        self._turns: dict[str, int] = {}
-        self._fresh = True
+        self._local_report_count = 0
+        self._report_turns: dict[str, int] = {}
+        self._needs_levels = True
         self._serving = anyio.Event()
-        # The TCP side of the peers' port, for the service that answers there.
+        # Bound to the TCP side of the peers' port, for the service that listens there.
         self._peer_socket: socket.socket | None = None
         self._transport: asyncio.DatagramTransport | None = None
         self._sent_bytes = counters.counter("peer_bytes", "Bytes of datagrams sent to other VMs")
-        alive = counters.gauge("vms_heard", "VMs of the fleet that are heard, this one included")
-        alive.set_function(lambda: self.live_vm_count())
+        live_vms = counters.gauge("vms_heard", "Live VMs of the fleet, including this one")
+        live_vms.set_function(lambda: self.live_vm_count())
 
     @property
     def leaving(self) -> bool:
-        """Whether this VM shuts down."""
+        """Whether this VM is shutting down."""
         return self._leaving_since_ms is not None
 
     def bind(self, kernel: Kernel) -> None:
         """Look up the store and the feed."""
         self._store = kernel.find(PLATFORM, PacedPlatform)  # type: ignore[type-abstract]
         self._feed = kernel.find(FEED, FeedService)
-        self._feed.on_batch(self._take_batch)
-        self._feed.on_config(self._take_config)
+        self._feed.on_batch(self._apply_batch)
+        self._feed.on_config(self._apply_config)
         key = f"{self._cfg.platform.prefix}vm/{self.own_vm.name}"
         self._registration = Registration(self._store, self._clock, key)
 
     def reload(self, cfg: GatewaySettings) -> None:
-        """Start new accounts with this allowance, and use these regions, from now on."""
+        """Use the new regions, and the new allowance for accounts that are added from now on."""
         self.quota.allowance = cfg.quota_allowance
         self._regions = cfg.regions
 
     def in_own_region(self, data_centre: str) -> bool:
-        """Whether a data centre is of this VM's region."""
+        """Return whether a data centre is in this VM's region."""
         return self._regions.get(data_centre) == self.own_vm.region
 
-    def _stays(self) -> bool:
+    def _is_stable(self) -> bool:
         return self._clock.now() - self._started_ms >= MIN_STABLE_MS and not self.leaving
 
-    def settled(self) -> bool:
-        """Whether this VM has run for long enough to have heard of all others."""
+    def fleet_known(self) -> bool:
+        """Return whether this VM has run long enough to have received reports of all others."""
         return self._clock.now() - self._started_ms >= DISCOVERY_MS
 
     def live_vm_count(self) -> int:
-        """Return how many VMs are heard, this one included."""
+        """Return the number of live VMs, this one included."""
         return 1 + self.peers.live_count()
 
     def known_vm_count(self) -> int:
-        """Return how many VMs there are as far as is known, this one included."""
-        return 1 + self.peers.known()
+        """Return the number of known VMs that are not leaving, this one included."""
+        return 1 + self.peers.known_count()
 
     def region_vms(self, region: str) -> list[GatewayVm]:
-        """Return the VMs of a region that callers may use."""
+        """Return the VMs of a region that accept callers' requests."""
         found = self.peers.serving_vms(region)
         if region == self.own_vm.region and not self.leaving:
             found.append(self.own_vm)
         return found
 
     def leaving_vms(self, region: str) -> list[tuple[GatewayVm, int]]:
-        """Return the VMs of a region that shut down, and for how long each has, in ms."""
-        found = self.peers.leaving(region)
+        """Return the VMs of a region that are shutting down, and for how long each has, in ms."""
+        found = self.peers.leaving_vms(region)
         if region == self.own_vm.region and self._leaving_since_ms is not None:
             found.append((self.own_vm, self._clock.now() - self._leaving_since_ms))
         return found
 
-    def on_message(self, kind: type[PeerMessage], take: Callable[[Any], None]) -> None:
-        """Hand words of a kind on; without anyone to take them, they are dropped."""
-        self._words[kind] = take
+    def on_message(self, kind: type[PeerMessage], handle: Callable[[Any], None]) -> None:
+        """Register the handler of a kind of message; messages without a handler are dropped."""
+        self._message_handlers[kind] = handle
 
-    def send_message(self, vm: str, word: PeerMessage) -> None:
-        """Say something to one VM of the region, if it is known."""
+    def send_message(self, vm: str, message: PeerMessage) -> None:
+        """Send a message to one VM of the region, if it is known."""
         peer = self.peers.by_name.get(vm)
         if peer is not None:
-            self._send(msgspec.msgpack.encode(word), peer)
+            self._send_datagram(msgspec.msgpack.encode(message), peer)
 
-    def told_beside(self) -> bool:
-        """Whether a VM of this data centre tells this one what changes in the store."""
-        return any(self._heard_near().values())
+    def has_local_watcher(self) -> bool:
+        """Return whether another live VM of this data centre watches the store."""
+        return any(self._live_local_peers().values())
 
-    def found_cold(self, server_id: str, cold_ms: int) -> None:
-        """Tell the region's VMs that a server said of itself that it is cold."""
+    def report_cold(self, server_id: str, cold_ms: int) -> None:
+        """Report to the region's VMs that a server said it is cold."""
         self._own_usage.mark_cold(server_id, cold_ms)
 
     def remote_candidates(self, service: str, *, leaving: bool = False) -> list[RemoteCandidate]:
-        """Return VMs of other regions that take requests for a service, best first.
+        """Return VMs of other regions that accept requests for a service, shortest wait first.
 
-        :param leaving: those that shut down instead of those that stay.
+        :param leaving: return VMs that are shutting down instead of those that are not.
         """
         return self.peers.remote_candidates(service, leaving=leaving)
 
     async def main(self, started: Started) -> None:
-        """Register and talk until cancelled."""
+        """Register and exchange reports until cancelled."""
         loop = asyncio.get_running_loop()
         self._peer_socket = bound_socket(self._cfg.vm.host, self.own_vm.peer_port)
         port = self._peer_socket.getsockname()[1]
         self._transport, _ = await loop.create_datagram_endpoint(
-            lambda: DatagramReceiver(self.receive), local_addr=(self._cfg.vm.host, port)
+            lambda: DatagramReceiver(self.receive_datagram), local_addr=(self._cfg.vm.host, port)
         )
         self.own_vm = replace(self.own_vm, peer_port=port)
         started()
         try:
             async with anyio.create_task_group() as tg:
                 tg.start_soon(self._register)
-                tg.start_soon(self._talk_near)
-                tg.start_soon(self._talk_outside)
+                tg.start_soon(self._report_locally)
+                tg.start_soon(self._report_remotely)
         finally:
             self._transport.close()
 
     def take_peer_socket(self) -> socket.socket:
         """Return a socket bound to the TCP side of the peers' port.
 
-        The port is bound together with that of the datagrams, so that both have one number.
+        It is bound together with the UDP port, so that both have the same number.
         """
         sock, self._peer_socket = self._peer_socket, None
         return sock or bound_socket(self.own_vm.host, self.own_vm.peer_port)
 
-    def serve(self, *, caller_port: int) -> None:
-        """Register from now on: callers and peers can connect."""
+    def start_registering(self, *, caller_port: int) -> None:
+        """Start to register this VM, once callers and peers can connect."""
         self.own_vm = replace(self.own_vm, caller_port=caller_port)
         self._serving.set()
 
-    async def leave(self) -> None:
-        """Tell peers and the store that callers should go elsewhere."""
+    async def announce_leaving(self) -> None:
+        """Report that this VM is shutting down, and delete its registration."""
         self._leaving_since_ms = self._clock.now()
-        self._tell_near()
-        words: dict[Audience, bytes] = {}
-        for peers in self.peers.outside().values():
+        self._send_local_reports()
+        encoded: dict[Audience, bytes] = {}
+        for peers in self.peers.remote_peers().values():
             for peer in peers:
-                self._tell_one(peer, words)
+                self._send_report(peer, encoded)
         await self._registration.withdraw()
 
     async def _register(self) -> None:
         await self._serving.wait()
         await self._registration.keep_registered(self.own_vm)
 
-    def _take_config(self) -> None:
+    def _apply_config(self) -> None:
         config = self._feed.routing_state.config
         if config is not None:
             self.quota.configure(config.accounts.values(), self._clock.now())
 
-    def _take_batch(self, batch: WatchBatch) -> None:
+    def _apply_batch(self, batch: WatchBatch) -> None:
         prefix = f"{self._cfg.platform.prefix}vm/"
         for item in batch.puts:
             if item.key.startswith(prefix):
-                self.peers.registered(item.value)
+                self.peers.apply_registration(item.value)
         for key in batch.deletes:
             if key.startswith(prefix):
-                self.peers.unregistered(key.removeprefix(prefix))
+                self.peers.mark_unregistered(key.removeprefix(prefix))
         self.peers.prune()
         if self._registration.key in batch.deletes:
             self._registration.entry_deleted()
 
-    async def _talk_near(self) -> None:
+    async def _report_locally(self) -> None:
         while True:
-            await self._clock.sleep(near_every_ms(len(self.peers.near())))
+            await self._clock.sleep(near_every_ms(len(self.peers.local_peers())))
             now = self._clock.now()
             self.peers.prune()
             self.who_places.look_again()
-            self._adapt()
-            self.quota.reach(1 + self.peers.spending_together(), self.known_vm_count(), now)
-            heard = [it for it in self.peers.by_name.values() if self.peers.is_live(it)]
-            apply_peer_usage(self._feed.routing_state, heard, own_name=self.own_vm.name)
-            self._tell_near()
+            self._adjust_intervals()
+            self.quota.reach(1 + self.peers.quota_peer_count(), self.known_vm_count(), now)
+            live_peers = [it for it in self.peers.by_name.values() if self.peers.is_live(it)]
+            apply_peer_usage(self._feed.routing_state, live_peers, own_name=self.own_vm.name)
+            self._send_local_reports()
 
-    async def _talk_outside(self) -> None:
+    async def _report_remotely(self) -> None:
         while True:
-            young = not self.settled()
-            every_ms = outside_every_ms(self.known_vm_count(), young=young)
-            await self._clock.sleep(out_of_step_ms(every_ms, self._rng))
-            self._tell_outside()
-
-    def _adapt(self) -> None:
-        """Fit intervals to the fleet's size, and watch the store or leave it to others."""
-        near, watching = len(self.peers.near()), watchers_of(self.peers.centres())
-        self.peers.peer_timeout_ms = gone_after_ms(near=near, vms=self.known_vm_count())
+            just_started = not self.fleet_known()
+            interval_ms = outside_every_ms(self.known_vm_count(), young=just_started)
+            await self._clock.sleep(out_of_step_ms(interval_ms, self._rng))
+            self._send_remote_reports()
+
+    def _adjust_intervals(self) -> None:
+        """Adjust intervals and timeouts to the fleet's size, and whether to watch the store."""
+        local, watchers = len(self.peers.local_peers()), watchers_of(self.peers.data_centre_sizes())
+        self.peers.peer_timeout_ms = gone_after_ms(near=local, vms=self.known_vm_count())
         self.quota.silent_ms = self.peers.quota_peer_timeout_ms()
-        self._store.watch_rest_ms = watch_rest_ms(watching)
-        self._store.watch_wait_ms = watch_wait_ms(watching)
-        self._feed.set_watcher(watches_itself(self.own_vm.name, self._heard_near()))
+        self._store.watch_rest_ms = watch_rest_ms(watchers)
+        self._store.watch_wait_ms = watch_wait_ms(watchers)
+        self._feed.set_watcher(watches_itself(self.own_vm.name, self._live_local_peers()))
         self.report_lag_ms = self.peers.report_lag_ms()
 
-    def _heard_near(self) -> dict[str, bool]:
-        """Return the VMs of this data centre that are relied on, and whether each watches."""
-        return self.peers.heard_near(watcher_gone_after_ms(len(self.peers.near())))
+    def _live_local_peers(self) -> dict[str, bool]:
+        """Return the VMs of this data centre that are live by the timeout for watchers.
+
+        The value is whether a VM watches the store.
+        """
+        return self.peers.live_local_peers(watcher_gone_after_ms(len(self.peers.local_peers())))
 
-    def _tell_near(self) -> None:
-        """Tell every VM of this data centre, with what those outside told this one."""
-        self._times += 1
-        whole = self._times % WHOLE_EVERY == 0
+    def _send_local_reports(self) -> None:
+        """Send a report to every VM of this data centre, with those received from other ones."""
+        self._local_report_count += 1
+        whole = self._local_report_count % WHOLE_REPORT_EVERY == 0
         relayed, self._relayed = self._relayed, []
-        data = self._encoded(Audience.NEAR, whole=whole, relayed=relayed)
-        for peer in self.peers.near():
-            self._send(data, peer)
+        data = self._encode_report(Audience.NEAR, whole=whole, relayed=relayed)
+        for peer in self.peers.local_peers():
+            self._send_datagram(data, peer)
 
-    def _tell_outside(self) -> None:
-        """Tell one VM of each other data centre, each in its turn; it passes the figures on.
+    def _send_remote_reports(self) -> None:
+        """Send a report to one VM of each other data centre, in rotation; it relays the report.
 
         A full mesh over all data centres would cost each VM as many datagrams as there are VMs,
-        and bytes between data centres are paid for.
+        and traffic between data centres is billed.
         """
-        words: dict[Audience, bytes] = {}
-        for centre, peers in self.peers.outside().items():
-            turn = self._turns.get(centre, self._offset())
-            self._turns[centre] = turn + 1
-            self._tell_one(peers[turn % len(peers)], words)
-
-    def _tell_one(self, peer: Peer, words: dict[Audience, bytes]) -> None:
-        """Tell a VM outside; ``words`` keeps what was encoded for its like."""
-        audience = Audience.ASIDE if self.peers.here(peer) else Audience.FAR
-        if audience not in words:
-            words[audience] = self._encoded(audience)
-        self._send(words[audience], peer)
-
-    def _offset(self) -> int:
-        """Return where this VM begins its turns, so that VMs don't all choose the same one."""
+        encoded: dict[Audience, bytes] = {}
+        for data_centre, peers in self.peers.remote_peers().items():
+            turn = self._report_turns.get(data_centre, self._first_turn())
+            self._report_turns[data_centre] = turn + 1
+            self._send_report(peers[turn % len(peers)], encoded)
+
+    def _send_report(self, peer: Peer, encoded: dict[Audience, bytes]) -> None:
+        """Send a report to a VM of another data centre.
+
+        :param encoded: reports encoded so far, by audience.
+        """
+        audience = Audience.ASIDE if self.peers.in_own_region(peer) else Audience.FAR
+        if audience not in encoded:
+            encoded[audience] = self._encode_report(audience)
+        self._send_datagram(encoded[audience], peer)
+
+    def _first_turn(self) -> int:
+        """Return the first index of this VM's rotation; VMs differ, to spread their reports."""
         return int(self.own_vm.incarnation, 16)
 
-    def _encoded(
+    def _encode_report(
         self,
         audience: Audience,
         *,
         whole: bool = True,
         relayed: Sequence[StatusReport] = (),
-        answer: bool = False,
+        with_levels: bool = False,
     ) -> bytes:
-        tell = self._message(audience, whole=whole, relayed=relayed, answer=answer)
-        return msgspec.msgpack.encode(tell)
+        report = self._build_report(audience, whole=whole, relayed=relayed, with_levels=with_levels)
+        return msgspec.msgpack.encode(report)
 
-    def _send(self, data: bytes, peer: Peer) -> None:
+    def _send_datagram(self, data: bytes, peer: Peer) -> None:
         if self._transport is not None:
             self._transport.sendto(data, (peer.vm.host, peer.vm.peer_port))
             self._sent_bytes.inc(len(data))
 
-    def _message(
-        self, audience: Audience, *, whole: bool, relayed: Sequence[StatusReport], answer: bool
+    def _build_report(
+        self, audience: Audience, *, whole: bool, relayed: Sequence[StatusReport], with_levels: bool
     ) -> StatusReport:
         far = audience is Audience.FAR
         granted = {} if far else self.granted_usage()
@@ -344,83 +352,83 @@
             leaving=self.leaving,
             revision=self._feed.revision,
             follows=self._feed.watches_store,
-            fresh=self._fresh,
+            fresh=self._needs_levels,
             spent=self._own_usage.spent(whole=whole),
-            servers={} if far else self._servers(granted, whole=whole),
-            forecasts=self.forecast if far else {},
+            servers={} if far else self._server_usage(granted, whole=whole),
+            forecasts=self.region_forecasts if far else {},
             whole=whole,
             relayed=list(relayed),
-            levels=self.quota.levels() if answer else None,
-            # Peers may not know it: a VM that restarts while the store is out isn't registered.
+            levels=self.quota.levels() if with_levels else None,
+            # Other VMs may not know it: one that restarts while the store is out isn't registered.
             vm=None if self._registration.held else self.own_vm,
-            holds={} if answer else self.prefix_holders.news(audience.value),
+            holds={} if with_levels else self.prefix_holders.news(audience.value),
             cold={} if far else self._own_usage.remaining_cold_ms(),
             granted=granted,
         )
 
-    def _servers(self, granted: GrantedUsage, *, whole: bool) -> dict[str, ServerUsage]:
+    def _server_usage(self, granted: GrantedUsage, *, whole: bool) -> dict[str, ServerUsage]:
         return self._own_usage.server_usage(self._feed.routing_state, granted, whole=whole)
 
-    def receive(self, data: bytes) -> None:
-        """Take what a peer says."""
+    def receive_datagram(self, data: bytes) -> None:
+        """Decode a datagram and pass it to the handler of its type."""
         try:
-            word = msgspec.msgpack.decode(data, type=PeerMessage)
+            message = msgspec.msgpack.decode(data, type=PeerMessage)
         except msgspec.MsgspecError as exc:
-            logging.warning("a datagram cannot be read: %s", exc)
+            logging.warning("invalid datagram ignored: %s", exc)
             return
-        take = self._words.get(type(word))
-        if take is not None:
-            take(word)
-
-    def _take_word(self, tell: StatusReport) -> None:
-        """Take what a peer says of itself, and of others that told it."""
-        sender = self._take_tell(tell)
-        for relayed in tell.relayed:
+        handle = self._message_handlers.get(type(message))
+        if handle is not None:
+            handle(message)
+
+    def _handle_report(self, report: StatusReport) -> None:
+        """Apply a VM's report and those that it relays."""
+        sender = self._apply_report(report)
+        for relayed in report.relayed:
             if relayed.name != self.own_vm.name:
-                self._take_tell(relayed)
+                self._apply_report(relayed)
         if sender is not None and sender.vm.data_centre != self.own_vm.data_centre:
-            # For the next word to the VMs of this data centre.
-            self._relayed.append(tell)
+            # Relayed to the VMs of this data centre with the next report.
+            self._relayed.append(report)
 
-    def _take_tell(self, tell: StatusReport) -> Peer | None:
-        peer = self.peers.heard_of(tell.name, tell.vm)
+    def _apply_report(self, report: StatusReport) -> Peer | None:
+        peer = self.peers.record_report(report.name, report.vm)
         if peer is None:
             return None
         now = self._clock.now()
-        if tell.leaving and not peer.leaving:
+        if report.leaving and not peer.leaving:
             peer.leaving_since_ms = now
-        peer.leaving = tell.leaving
-        peer.follows = tell.follows
-        self._feed.note_peer_revision(tell.revision, now, source=self._source(peer))
-        self.prefix_holders.heard(tell.holds, now)
-        if self.peers.here(peer):
-            kept = {} if tell.whole or peer.servers is None else peer.servers
-            peer.servers = kept | tell.servers
-            peer.granted = tell.granted
-            for server, cold_ms in tell.cold.items():
+        peer.leaving = report.leaving
+        peer.watches_store = report.follows
+        self._feed.note_peer_revision(report.revision, now, source=self._change_source(peer))
+        self.prefix_holders.heard(report.holds, now)
+        if self.peers.in_own_region(peer):
+            known = {} if report.whole or peer.servers is None else peer.servers
+            peer.servers = known | report.servers
+            peer.granted_usage = report.granted
+            for server, cold_ms in report.cold.items():
                 self._feed.routing_state.mark_cold(server, cold_ms, now)
         else:
-            peer.forecasts = tell.forecasts
-        younger = tell.up_ms < now - self._started_ms
-        life = f"{tell.name}/{tell.incarnation}"
-        self.quota.heard(life, tell.spent, now, younger=younger)
-        self._settle_in(tell, peer, now)
+            peer.forecasts = report.forecasts
+        started_later = report.up_ms < now - self._started_ms
+        incarnation = f"{report.name}/{report.incarnation}"
+        self.quota.heard(incarnation, report.spent, now, younger=started_later)
+        self._exchange_levels(report, peer, now)
         return peer
 
-    def _source(self, peer: Peer) -> Address | None:
-        """Return where to ask a peer for changes, if it follows the store close by."""
-        if not peer.follows or peer.vm.data_centre != self.own_vm.data_centre:
+    def _change_source(self, peer: Peer) -> Address | None:
+        """Return the address to request changes from if the VM is local and watches the store."""
+        if not peer.watches_store or peer.vm.data_centre != self.own_vm.data_centre:
             return None
         return (peer.vm.host, peer.vm.peer_port)
 
-    def _settle_in(self, tell: StatusReport, peer: Peer, now_ms: int) -> None:
-        """Take the buckets' levels from an older VM, or give them to a younger one."""
+    def _exchange_levels(self, report: StatusReport, peer: Peer, now_ms: int) -> None:
+        """Adopt the quota levels of an older VM, or send this VM's to a younger one."""
         up_ms = now_ms - self._started_ms
-        if tell.levels is not None and self._fresh and tell.up_ms > up_ms:
-            self._fresh = False
-            self.quota.adopt(tell.levels, now_ms)
-        if self._fresh and up_ms > DISCOVERY_MS:
-            self._fresh = False
-        if tell.fresh and tell.up_ms < up_ms:
-            audience = Audience.ASIDE if self.peers.here(peer) else Audience.FAR
-            self._send(self._encoded(audience, answer=True), peer)
+        if report.levels is not None and self._needs_levels and report.up_ms > up_ms:
+            self._needs_levels = False
+            self.quota.adopt(report.levels, now_ms)
+        if self._needs_levels and up_ms > DISCOVERY_MS:
+            self._needs_levels = False
+        if report.fresh and report.up_ms < up_ms:
+            audience = Audience.ASIDE if self.peers.in_own_region(peer) else Audience.FAR
+            self._send_datagram(self._encode_report(audience, with_levels=True), peer)
--- a/src/hickorybeam/gateway/peers.py
+++ b/src/hickorybeam/gateway/peers.py
@@ -1,4 +1,4 @@
-"""The other VMs as this one knows them: by the store's registrations and by hearing them."""
+"""The other VMs as this one knows them, from registrations in the store and status reports."""
 
 from __future__ import annotations
 
@@ -20,47 +20,48 @@
 
 if TYPE_CHECKING:
     from hickorybeam.clock import Clock
-    from hickorybeam.gateway.status_report import GrantedUsage, WaitForecast, ServerUsage
+    from hickorybeam.gateway.status_report import GrantedUsage, ServerUsage, WaitForecast
 
 __all__ = ("MIN_STABLE_MS", "DISCOVERY_MS", "Peer", "PeerTable", "RemoteCandidate")
 
-# A VM that has just registered may not have been heard yet.
+# Time within which a new VM's first status report arrives; until then it counts as live.
 DISCOVERY_MS = 2_500
-# A VM that is known for so long has been heard by its region's others, so that they agree on who
-# places. Longer, and each would decide alone after all were killed at once, just while every
-# caller comes back.
+# A VM that has been known for this long has reported to all VMs of its region, so that they agree
+# on the placement coordinator. If it were longer, each VM would place alone after all were killed
+# at once, just while every caller reconnects.
 MIN_STABLE_MS = 1_000
 
 
 @dataclass(slots=True, eq=False)
 class Peer:
-    """Another VM as this one knows it."""
+    """Another VM, with the content of its last status report."""
 
     vm: GatewayVm
-    known_ms: int
+    known_since_ms: int
     registered: bool = True
     last_seen_ms: int = -LEAST_HEARD_MS
     leaving: bool = False
     leaving_since_ms: int = 0
-    follows: bool = False
+    watches_store: bool = False
     servers: dict[str, ServerUsage] | None = None
-    granted: GrantedUsage = field(default_factory=dict)
+    granted_usage: GrantedUsage = field(default_factory=dict)
     forecasts: dict[str, WaitForecast] | None = None
 
     def is_live_or_new(self, now_ms: int, peer_timeout_ms: int) -> bool:
-        """Whether it was heard, or is too new to have been."""
-        return self.is_live(now_ms, peer_timeout_ms) or now_ms - self.known_ms < DISCOVERY_MS
+        """Return whether the VM is live, or too new to have sent a report."""
+        return self.is_live(now_ms, peer_timeout_ms) or now_ms - self.known_since_ms < DISCOVERY_MS
 
     def is_live(self, now_ms: int, peer_timeout_ms: int) -> bool:
-        """Whether it was heard lately."""
+        """Return whether a report of the VM arrived within the timeout."""
         return now_ms - self.last_seen_ms < peer_timeout_ms
 
 
 @dataclass(frozen=True, slots=True)
 class RemoteCandidate:
-    """A VM of another region that takes requests for a service, and what it tells of it.
+    """A VM of another region that accepts requests for a service, with its forecast.
 
-    ``wait_ms`` is that of an empty prompt, ``running`` the requests at the server of that wait.
+    ``wait_ms`` is the expected wait of an empty prompt, ``running`` the number of requests in
+    flight at the server with that wait.
     """
 
     peer: Peer
@@ -69,44 +70,44 @@
 
 
 class PeerTable:
-    """All other VMs.
+    """All other VMs of the fleet.
 
-    :param me: the VM of this process.
+    :param own_vm: the VM of this process.
     """
 
-    def __init__(self, clock: Clock, me: GatewayVm) -> None:
+    def __init__(self, clock: Clock, own_vm: GatewayVm) -> None:
         self._clock = clock
-        self._own_vm = me
+        self._own_vm = own_vm
         self.peer_timeout_ms = LEAST_HEARD_MS
         self.by_name: dict[str, Peer] = {}
 
     def live_count(self) -> int:
-        """Return how many VMs are heard."""
+        """Return how many VMs are live."""
         return sum(self.is_live(it) for it in self.by_name.values())
 
-    def spending_together(self) -> int:
-        """Return how many VMs are heard well enough to share the accounts' rates with them."""
+    def quota_peer_count(self) -> int:
+        """Return how many VMs share the accounts' rates with this one, 0 if it is isolated."""
         now = self._clock.now()
-        heard = [now - it.last_seen_ms for it in self.by_name.values()]
-        if min(heard, default=0) > quiet_after_ms(len(self.near())):
+        ages_ms = [now - it.last_seen_ms for it in self.by_name.values()]
+        if min(ages_ms, default=0) > quiet_after_ms(len(self.local_peers())):
             return 0
         limit_ms = self.quota_peer_timeout_ms()
-        return sum(ago_ms < limit_ms for ago_ms in heard)
+        return sum(age_ms < limit_ms for age_ms in ages_ms)
 
     def quota_peer_timeout_ms(self) -> int:
-        """Return after which silence a VM of this fleet counts as spending by itself."""
-        return spends_alone_after_ms(near=len(self.near()), vms=1 + self.known())
+        """Return how long a VM may send no report before it counts as spending its own share."""
+        return spends_alone_after_ms(near=len(self.local_peers()), vms=1 + self.known_count())
 
     def is_live(self, peer: Peer) -> bool:
-        """Whether a VM was heard lately."""
+        """Return whether a report of the VM arrived within the timeout."""
         return peer.is_live(self._clock.now(), self.peer_timeout_ms)
 
-    def known(self) -> int:
-        """Return how many VMs there are, those left out that are leaving."""
+    def known_count(self) -> int:
+        """Return how many VMs are known, leaving ones not counted."""
         return sum(not peer.leaving for peer in self.by_name.values())
 
     def serving_vms(self, region: str) -> list[GatewayVm]:
-        """Return the VMs of a region that callers may use."""
+        """Return the VMs of a region that accept callers' requests."""
         now = self._clock.now()
         return [
             peer.vm
@@ -117,22 +118,22 @@
         ]
 
     def stable_vms(self) -> dict[str, float]:
-        """Return the VMs of this region that are heard, stay, and have been known for a while.
+        """Return this region's VMs that are live, not leaving, and known for ``MIN_STABLE_MS``.
 
-        Each with its processor, in usual cores.
+        The values are their processing power, in standard cores.
         """
         now = self._clock.now()
         return {
             name: peer.vm.power
             for name, peer in self.by_name.items()
-            if self.here(peer)
+            if self.in_own_region(peer)
             and not peer.leaving
             and self.is_live(peer)
-            and now - peer.known_ms > MIN_STABLE_MS
+            and now - peer.known_since_ms > MIN_STABLE_MS
         }
 
-    def leaving(self, region: str) -> list[tuple[GatewayVm, int]]:
-        """Return the VMs of a region that shut down, and for how long each has, in ms."""
+    def leaving_vms(self, region: str) -> list[tuple[GatewayVm, int]]:
+        """Return the VMs of a region that are shutting down, and for how long each has, in ms."""
         now = self._clock.now()
         return [
             (peer.vm, now - peer.leaving_since_ms)
@@ -140,64 +141,68 @@
             if peer.vm.region == region and peer.leaving and peer.is_live(now, self.peer_timeout_ms)
         ]
 
-    def near(self) -> list[Peer]:
-        """Return the VMs of this data centre."""
+    def local_peers(self) -> list[Peer]:
+        """Return the other VMs of this data centre."""
         here = self._own_vm.data_centre
         return [it for it in self.by_name.values() if it.vm.data_centre == here]
 
     def report_lag_ms(self) -> float:
-        """Return how late the other VMs of this region are heard, added up over them.
+        """Return the sum of the report intervals of this region's other live VMs.
 
-        Words of other data centres come by way of a VM of this one.
+        Reports from other data centres are relayed by a VM of this one, which adds its interval.
         """
         now = self._clock.now()
-        near = aside = 0
+        local = other = 0
         for peer in self.by_name.values():
-            if self.here(peer) and peer.is_live(now, self.peer_timeout_ms):
-                beside = peer.vm.data_centre == self._own_vm.data_centre
-                near, aside = near + beside, aside + (not beside)
-        every_ms = near_every_ms(near)
-        return near * every_ms + aside * (outside_every_ms(1 + self.known()) + every_ms)
-
-    def centres(self) -> Counter[str]:
-        """Return how many VMs each data centre has, this one included."""
+            if self.in_own_region(peer) and peer.is_live(now, self.peer_timeout_ms):
+                is_local = peer.vm.data_centre == self._own_vm.data_centre
+                local, other = local + is_local, other + (not is_local)
+        interval_ms = near_every_ms(local)
+        return local * interval_ms + other * (
+            outside_every_ms(1 + self.known_count()) + interval_ms
+        )
+
+    def data_centre_sizes(self) -> Counter[str]:
+        """Return the number of VMs of each data centre, this VM included."""
         found = Counter(it.vm.data_centre for it in self.by_name.values())
         found[self._own_vm.data_centre] += 1
         return found
 
-    def heard_near(self, for_ms: int) -> dict[str, bool]:
-        """Return the VMs of this data centre heard lately, and whether each follows the store."""
+    def live_local_peers(self, timeout_ms: int) -> dict[str, bool]:
+        """Return the live VMs of this data centre, and whether each watches the store."""
         now = self._clock.now()
         return {
-            it.vm.name: it.follows and not it.leaving for it in self.near() if it.is_live(now, for_ms)
+            it.vm.name: it.watches_store and not it.leaving
+            for it in self.local_peers()
+            if it.is_live(now, timeout_ms)
         }
 
-    def outside(self) -> dict[str, list[Peer]]:
-        """Return the VMs of each other data centre, those that are alive if any is, by name."""
+    def remote_peers(self) -> dict[str, list[Peer]]:
+        """Return the VMs of each other data centre by name; only live ones, if it has any."""
         now = self._clock.now()
-        by_centre: dict[str, list[Peer]] = {}
+        by_data_centre: dict[str, list[Peer]] = {}
         for peer in self.by_name.values():
             if peer.vm.data_centre != self._own_vm.data_centre:
-                by_centre.setdefault(peer.vm.data_centre, []).append(peer)
-        for centre, peers in by_centre.items():
-            alive = [it for it in peers if it.is_live_or_new(now, self.peer_timeout_ms)] or peers
-            by_centre[centre] = sorted(alive, key=lambda it: it.vm.name)
-        return by_centre
-
-    def here(self, peer: Peer) -> bool:
-        """Whether a VM is of this region."""
+                by_data_centre.setdefault(peer.vm.data_centre, []).append(peer)
+        for data_centre, peers in by_data_centre.items():
+            live = [it for it in peers if it.is_live_or_new(now, self.peer_timeout_ms)] or peers
+            by_data_centre[data_centre] = sorted(live, key=lambda it: it.vm.name)
+        return by_data_centre
+
+    def in_own_region(self, peer: Peer) -> bool:
+        """Return whether a VM is in this VM's region."""
         return peer.vm.region == self._own_vm.region
 
     def remote_candidates(self, service: str, *, leaving: bool = False) -> list[RemoteCandidate]:
-        """Return VMs of other regions that take requests for a service, best first.
+        """Return VMs of other regions that accept requests for a service, shortest wait first.
 
-        :param leaving: those that shut down instead of those that stay.
+        :param leaving: return VMs that are shutting down instead of those that are not.
         """
         now = self._clock.now()
         found = [
             RemoteCandidate(peer, *peer.forecasts[service])
             for peer in self.by_name.values()
-            if not self.here(peer)
+            if not self.in_own_region(peer)
             and peer.leaving == leaving
             and peer.is_live(now, self.peer_timeout_ms)
             and peer.forecasts is not None
@@ -205,12 +210,12 @@
         ]
         return sorted(found, key=lambda it: (it.wait_ms, it.peer.vm.name))
 
-    def registered(self, value: bytes) -> None:
-        """Take a VM's registration; a new life of it is a new VM."""
+    def apply_registration(self, value: bytes) -> None:
+        """Apply a VM's registration; a new incarnation replaces the old one's record."""
         try:
             vm = msgspec.json.decode(value, type=GatewayVm)
         except msgspec.MsgspecError as exc:
-            logging.warning("a VM's entry cannot be read: %s", exc)
+            logging.warning("invalid VM registration ignored: %s", exc)
             return
         if vm.name == self._own_vm.name:
             return
@@ -220,13 +225,17 @@
         else:
             self.by_name[vm.name] = Peer(vm, self._clock.now())
 
-    def unregistered(self, name: str) -> None:
-        """Take note that a VM's registration is gone."""
+    def mark_unregistered(self, name: str) -> None:
+        """Record that a VM's registration was deleted."""
         if name in self.by_name:
             self.by_name[name].registered = False
 
-    def heard_of(self, name: str, vm: GatewayVm | None) -> Peer | None:
-        """Return a VM that was heard; one that isn't registered tells who it is."""
+    def record_report(self, name: str, vm: GatewayVm | None) -> Peer | None:
+        """Return the VM that sent a report and update when it was last seen.
+
+        :param vm: its own record, sent by a VM that isn't registered.
+        :return: ``None`` if the VM is unknown or this one.
+        """
         peer = self.by_name.get(name)
         if peer is None and vm is not None and name != self._own_vm.name:
             peer = self.by_name[name] = Peer(vm, self._clock.now(), registered=False)
@@ -235,10 +244,11 @@
         return peer
 
     def prune(self) -> None:
-        """Forget VMs that are neither registered nor heard.
+        """Remove VMs that are neither registered nor live.
 
-        The store's lease alone would drop VMs that run through an outage in which leases
-        lapse; hearing alone would count one that is gone for good.
+        A VM whose registration is gone may still run: leases expire during an outage of the store.
+        Reports alone cannot tell a VM that is gone for good from one that is cut off, and would
+        keep counting it.
         """
         now = self._clock.now()
         for name, peer in tuple(self.by_name.items()):
--- a/src/hickorybeam/gateway/relay.py
+++ b/src/hickorybeam/gateway/relay.py
@@ -1,4 +1,4 @@
-"""The service ``relay``: the ports that callers, peers and operators' tools connect to."""
+"""The service ``relay``: the ports that callers, other VMs and operators' tools connect to."""
 
 from __future__ import annotations
 
@@ -42,24 +42,24 @@
 
 __all__ = ("Ports", "RelayService")
 
-# How long callers keep a directory's answer, and some of them three times as long: they go on
-# using a VM that is gone, or has begun to shut down, until then; it still takes everything.
-LIST_VALID_MS = 800
-CONNECT_MS = 600
-SILENT_MS = 2_000
-FORECAST_EVERY_MS = 100
+# How long callers cache a directory response; some cache it three times as long. Until then they
+# use a VM that is gone or shutting down; one that is shutting down still accepts everything then.
+DIRECTORY_TTL_MS = 800
+CONNECT_TIMEOUT_MS = 600
+UNACKED_TIMEOUT_MS = 2_000
+FORECAST_INTERVAL_MS = 100
 METRICS_PATH = b"/metrics"
 CHANGES_PREFIX = CHANGES_PATH.encode()
-USUAL_URGENCY = 5
-JSON = ((b"content-type", b"application/json"),)
-MSGPACK = ((b"content-type", b"application/msgpack"),)
-PLAIN = ((b"content-type", b"text/plain; version=0.0.4"),)
-DRAIN_POLL_MS = 25
+DEFAULT_URGENCY = 5
+JSON_HEADERS = ((b"content-type", b"application/json"),)
+MSGPACK_HEADERS = ((b"content-type", b"application/msgpack"),)
+METRICS_HEADERS = ((b"content-type", b"text/plain; version=0.0.4"),)
+DRAIN_POLL_INTERVAL_MS = 25
 
 
 @dataclass(frozen=True, slots=True)
 class Ports:
-    """The ports of one VM, as bound; 0 before that."""
+    """TCP port numbers of one VM; 0 until bound."""
 
     callers: int = 0
     peers: int = 0
@@ -69,7 +69,7 @@
 
 
 class RelayService(Service):
-    """Listens and hands requests to their path."""
+    """Listens on the VM's ports and passes requests to their handlers."""
 
     name: ClassVar[str] = RELAY
     needs: ClassVar[tuple[str, ...]] = (FEED, FLEET)
@@ -79,34 +79,36 @@
         self._clock = clock
         self._counters = counters
         self._servers: list[HttpServer] = []
-        self._bound = Ports()
+        self._bound_ports = Ports()
         self._leaving = False
         self._in_flight = counters.gauge("requests_in_flight", "Requests being answered")
 
     def bind(self, kernel: Kernel) -> None:
-        """Look up neighbours."""
+        """Look up the feed and the fleet, and set up the request handler."""
         self._feed = kernel.find(FEED, FeedService)
         self._fleet = kernel.find(FLEET, FleetService)
         if self._cfg.gateway is None:
             raise ValueError("settings have no section 'gateway'")
         self._gateway = self._cfg.gateway
-        self._path = RequestPath(
+        self._handler = RequestPath(
             cfg=self._gateway,
             clock=self._clock,
             counters=self._counters,
             feed=self._feed,
             fleet=self._fleet,
-            pool=UpstreamPool(self._clock, connect_ms=CONNECT_MS, silent_ms=SILENT_MS),
+            pool=UpstreamPool(
+                self._clock, connect_ms=CONNECT_TIMEOUT_MS, silent_ms=UNACKED_TIMEOUT_MS
+            ),
             log=DecisionLog(self._clock),
         )
 
     def reload(self, cfg: GatewaySettings) -> None:
-        """Take over what may change while requests run; open connections stay."""
+        """Apply changed settings to running and new requests; connections stay open."""
         self._gateway = cfg
-        self._path.reload(cfg)
+        self._handler.reload(cfg)
 
     async def main(self, started: Started) -> None:
-        """Listen until cancelled; started again after a crash, it listens where it did."""
+        """Listen until cancelled; after a crash, listen on the same ports again."""
         try:
             async with anyio.create_task_group() as tg:
                 for handler, sock in self._listeners():
@@ -115,136 +117,136 @@
                         clock=self._clock,
                         tasks=tg,
                         limits=self._feed.routing_state.caller_limits,
-                        on_malformed=self._malformed,
+                        on_malformed=self._count_malformed,
                     )
                     await server.listen_on(sock)
                     self._servers.append(server)
-                self._in_flight.set_function(lambda: self._callers.in_flight)
-                tg.start_soon(self._forecast)
-                tg.start_soon(self._path.place_for_others)
-                self._fleet.serve(caller_port=self._callers.port)
+                self._in_flight.set_function(lambda: self._caller_server.in_flight)
+                tg.start_soon(self._update_forecasts)
+                tg.start_soon(self._handler.place_for_others)
+                self._fleet.start_registering(caller_port=self._caller_server.port)
                 started()
         finally:
-            self._bound = self.ports() if self._servers else self._bound
+            self._bound_ports = self.ports() if self._servers else self._bound_ports
             for server in self._servers:
                 server.stop_accepting()
             self._servers = []
 
     def _listeners(self) -> tuple[tuple[Handler, socket.socket], ...]:
-        cfg, bound = self._gateway, self._bound
+        cfg, bound = self._gateway, self._bound_ports
         return (
-            (self._path.answer, socket_of(cfg.callers, bound.callers)),
-            (self._hop, self._fleet.take_peer_socket()),
-            (self._ready, socket_of(cfg.ready, bound.ready)),
-            (self._directory, socket_of(cfg.directory, bound.directory)),
-            (self._state, socket_of(cfg.state, bound.state)),
+            (self._handler.answer, bind_address(cfg.callers, bound.callers)),
+            (self._serve_peer, self._fleet.take_peer_socket()),
+            (self._serve_readiness, bind_address(cfg.ready, bound.ready)),
+            (self._serve_directory, bind_address(cfg.directory, bound.directory)),
+            (self._serve_state, bind_address(cfg.state, bound.state)),
         )
 
     @property
-    def _callers(self) -> HttpServer:
+    def _caller_server(self) -> HttpServer:
         return self._servers[0]
 
     def ports(self) -> Ports:
-        """Return the ports that it really listens on."""
+        """Return the ports that the service listens on."""
         return Ports(*(server.port for server in self._servers))
 
     async def drain(self) -> None:
-        """Leave the directory, refuse what could not be finished, and finish what runs.
+        """Leave the directory, refuse requests that might not finish, and finish the others.
 
-        Callers go on using open connections and lists that name this VM for a while. A port
-        closed at once would cut requests that were on their way.
+        Callers keep using open connections and cached directory responses for a while. If the
+        ports were closed at once, requests already on their way would be cut off.
         """
-        begun = self._clock.now()
+        began_ms = self._clock.now()
         self._leaving = True
         times = shutdown_of(self._gateway)
-        end = begun + times.end_ms
+        end_ms = began_ms + times.end_ms
         for server in self._servers:
             server.closing = True
-        await self._fleet.leave()
-        await self._until(begun + times.serve_on_ms)
-        self._path.take_until(round(end))
-        await self._until(begun + times.accept_on_ms)
-        self._path.drain()
+        await self._fleet.announce_leaving()
+        await self._sleep_until(began_ms + times.serve_on_ms)
+        self._handler.take_until(round(end_ms))
+        await self._sleep_until(began_ms + times.accept_on_ms)
+        self._handler.drain()
         for server in self._servers:
             server.stop_accepting()
             server.close_idle()
-        while self._busy() and self._clock.now() < end:
-            await self._clock.sleep(DRAIN_POLL_MS)
+        while self._in_flight_count() and self._clock.now() < end_ms:
+            await self._clock.sleep(DRAIN_POLL_INTERVAL_MS)
             for server in self._servers[:2]:
                 server.close_idle()
-        logging.info("drained, %d requests cut", self._busy())
+        logging.info("drained, %d requests cut off", self._in_flight_count())
 
-    def _busy(self) -> int:
+    def _in_flight_count(self) -> int:
         return sum(server.in_flight for server in self._servers[:2])
 
-    async def _until(self, due_ms: float) -> None:
+    async def _sleep_until(self, due_ms: float) -> None:
         await self._clock.sleep(due_ms - self._clock.now())
 
-    async def _forecast(self) -> None:
+    async def _update_forecasts(self) -> None:
         while True:
-            await self._clock.sleep(FORECAST_EVERY_MS)
-            self._fleet.forecast = self._path.forecasts()
+            await self._clock.sleep(FORECAST_INTERVAL_MS)
+            self._fleet.region_forecasts = self._handler.forecasts()
 
-    def _malformed(self, status: int) -> None:
+    def _count_malformed(self, status: int) -> None:
         self._counters.refusals.labels(f"malformed_{status}").inc()
 
-    async def _hop(self, req: Incoming, reply: Reply) -> None:
-        """Run a request that a VM of another region hands over, by a server of this one."""
+    async def _serve_peer(self, req: Incoming, reply: Reply) -> None:
+        """Serve the peers' port: requests forwarded by another region's VM, metrics, changes."""
         if req.target == METRICS_PATH:
-            reply.whole(200, PLAIN, self._counters.text())
+            reply.whole(200, METRICS_HEADERS, self._counters.text())
             return
         if req.target.startswith(CHANGES_PREFIX):
-            self._changes(req, reply)
+            self._serve_changes(req, reply)
             return
-        errand = errand_of(req)
-        if errand is None:
+        request = decode_forwarded_request(req)
+        if request is None:
             reply.whole(404)
             return
-        await self._path.serve(errand, reply, here_only=True)
+        await self._handler.serve(request, reply, here_only=True)
 
-    def _changes(self, req: Incoming, reply: Reply) -> None:
-        """Hand a VM that doesn't watch the store the changes that it lacks."""
+    def _serve_changes(self, req: Incoming, reply: Reply) -> None:
+        """Send the changes after a revision to a VM that doesn't watch the store."""
         after = req.target.removeprefix(CHANGES_PREFIX)
         found = self._feed.changes_after(int(after)) if after.isdigit() else None
         if found is None:
             reply.whole(404)
         else:
-            reply.whole(200, MSGPACK, found)
+            reply.whole(200, MSGPACK_HEADERS, found)
 
-    async def _ready(self, req: Incoming, reply: Reply) -> None:
+    async def _serve_readiness(self, req: Incoming, reply: Reply) -> None:
         ready = self._feed.routing_state.config is not None and not self._leaving
         reply.whole(200 if ready else 503)
 
-    async def _directory(self, req: Incoming, reply: Reply) -> None:
-        """Name VMs that the caller should use."""
+    async def _serve_directory(self, req: Incoming, reply: Reply) -> None:
+        """Send the addresses of the VMs that the caller should use."""
         query = decode_query(req.target)
         if query is None:
             reply.whole(404)
             return
-        vms = self._named(query.host, query.region)
+        vms = self._listed_vms(query.host, query.region)
         if not vms:
             reply.whole(503)
             return
         addresses = [f"{vm.host}:{vm.caller_port}" for vm in vms[:64]]
-        answer = directory_answer(addresses, ttl_ms=LIST_VALID_MS)
-        reply.whole(200, JSON, answer)
+        answer = directory_answer(addresses, ttl_ms=DIRECTORY_TTL_MS)
+        reply.whole(200, JSON_HEADERS, answer)
 
-    def _named(self, host: str, region: str) -> Sequence[GatewayVm]:
+    def _listed_vms(self, host: str, region: str) -> Sequence[GatewayVm]:
         """Return the VMs that a caller of a region should use."""
         routing_state = self._feed.routing_state
         if routing_state.config is None:
-            # Homes aren't known yet; a caller led out of them can't be served there.
+            # Home regions aren't known yet; VMs outside them could not serve the caller.
             return ()
         return vms_to_name(
             region,
             homes=routing_state.route_table.homes(host.lower()),
             regions=set(self._gateway.regions.values()),
-            vms_of=self._vms_of,
-            settled=self._fleet.settled(),
+            vms_of=self._vms_by_phase,
+            settled=self._fleet.fleet_known(),
         )
 
-    def _vms_of(self, region: str) -> RegionVms:
-        """Sort a region's VMs by what they still take."""
+    def _vms_by_phase(self, region: str) -> RegionVms:
+        """Return a region's VMs by what they still accept."""
         times = shutdown_of(self._gateway)
         leaving = self._fleet.leaving_vms(region)
         return RegionVms(
@@ -255,42 +257,42 @@
             ],
         )
 
-    async def _state(self, req: Incoming, reply: Reply) -> None:
+    async def _serve_state(self, req: Incoming, reply: Reply) -> None:
         if req.target.decode("latin-1") == STATE_PATH and self._feed.routing_state.config:
-            reply.whole(200, MSGPACK, self._feed.encode_state())
+            reply.whole(200, MSGPACK_HEADERS, self._feed.encode_state())
         else:
             reply.whole(404)
 
 
-def urgency_told(value: bytes | None) -> int:
-    """Read the urgency that another VM tells; what cannot be read counts as usual."""
-    return int(value) if value is not None and value.isdigit() else USUAL_URGENCY
+def decode_urgency(value: bytes | None) -> int:
+    """Return the urgency set by another VM, the default if it is missing or invalid."""
+    return int(value) if value is not None and value.isdigit() else DEFAULT_URGENCY
 
 
-def socket_of(address: str, bound_port: int) -> socket.socket:
+def bind_address(address: str, bound_port: int) -> socket.socket:
     """Return a socket bound to ``host:port``.
 
-    :param bound_port: goes before the address's own, where it was bound to a free port before.
+    :param bound_port: port of an earlier start; if not 0, used instead of the address's own.
     """
     host, port = split_address(address)
     return bound_socket(host, bound_port or port)
 
 
-def errand_of(req: Incoming) -> Errand | None:
-    """Read a request that another VM hands over; ``None`` if it is none."""
+def decode_forwarded_request(req: Incoming) -> Errand | None:
+    """Decode a request forwarded by another VM, ``None`` if it isn't one."""
     service = find(req.headers, HOP_SERVICE)
-    left = find(req.headers, HOP_LEFT)
-    if service is None or left is None or not left.isdigit():
+    time_left_ms = find(req.headers, HOP_LEFT)
+    if service is None or time_left_ms is None or not time_left_ms.isdigit():
         return None
     call = decode_call(req)
-    account, resume = find(req.headers, HOP_ACCOUNT), find(req.headers, HOP_RESUME)
+    account, resume_after = find(req.headers, HOP_ACCOUNT), find(req.headers, HOP_RESUME)
     route = Route(name="hop", host="", prefix="/", repeat=Repeat.ONCE, targets=())
     return Errand(
         call=call,
         route=route,
         service=service.decode("latin-1"),
         account=None if account is None else account.decode("latin-1"),
-        urgency=urgency_told(find(req.headers, HOP_URGENCY)),
-        deadline_ms=req.arrived_ms + int(left),
-        resume_after=None if resume is None else resume.decode("latin-1"),
+        urgency=decode_urgency(find(req.headers, HOP_URGENCY)),
+        deadline_ms=req.arrived_ms + int(time_left_ms),
+        resume_after=None if resume_after is None else resume_after.decode("latin-1"),
     )
--- a/tests/steps/gateway/cut_off_steps.py
+++ b/tests/steps/gateway/cut_off_steps.py
@@ -58,15 +58,15 @@
 
 @then("after {ms:d} ms each of these spends its own part only")
 def step_alone(context, ms):
-    assert context.cut_table.spending_together() == len(context.vms) - 1
+    assert context.cut_table.quota_peer_count() == len(context.vms) - 1
     pass_to(context, ms)
-    assert context.cut_table.spending_together() == 0
+    assert context.cut_table.quota_peer_count() == 0
 
 
 @then("after {ms:d} ms those that are left spend their own parts only")
 def step_left(context, ms):
     pass_to(context, ms)
-    assert context.left_table.spending_together() == len(context.left) - 1
+    assert context.left_table.quota_peer_count() == len(context.left) - 1
 
 
 @when("all of them have just started")
--- a/tests/steps/gateway/gateway_steps.py
+++ b/tests/steps/gateway/gateway_steps.py
@@ -798,7 +798,7 @@
 
 
 def allowance_of(context):
-    return context.rig.vms["n1"].relay._path._cfg.repeat_allowance
+    return context.rig.vms["n1"].relay._handler._cfg.repeat_allowance
 
 
 @when('its settings file says "{line}" while a stream runs')
@@ -925,7 +925,7 @@
         rig = context.rig
         found = rig.vms[vm]
         context.ports = found.ports
-        path, forecasts = found.relay._path, found.relay._path.forecasts
+        path, forecasts = found.relay._handler, found.relay._handler.forecasts
 
         def fail():
             path.forecasts = forecasts
@@ -963,7 +963,7 @@
 )
 def step_gets_late(context, key, ms, status, path, vm):
     # Of the 4 s that it may take, from 1.2 s to 2 s it takes what ends before 3.6 s, then nothing.
-    admission = context.rig.vms[vm].relay._path._admission
+    admission = context.rig.vms[vm].relay._handler._admission
     options = {"method": "POST", "body": BODY, "tokens": b"50,10"} if "chat" in path else {}
 
     async def ask_late():
@@ -998,7 +998,7 @@
 
 @given('"{vm}" has used up its budget for repeats')
 def step_no_budget(context, vm):
-    path = context.rig.vms[vm].relay._path
+    path = context.rig.vms[vm].relay._handler
     for service in ("books", "model"):
         budget = path._budget(service)
         budget.change(RepeatBounds(ratio=0.0, allowance=0.0, window_ms=1_000_000))
