--- a/tests/steps/gateway/gateway_steps.py
+++ b/tests/steps/gateway/gateway_steps.py
@@ -334,7 +334,7 @@
         rig = context.rig
         rig.app.put(f"op/evacuate/{data_centre}", b"{}")
         await rig.until(
-            lambda: all(data_centre in vm.knowledge.evacuated for vm in rig.vms.values())
+            lambda: all(data_centre in vm.routing_state.evacuated_data_centres for vm in rig.vms.values())
         )
 
     context.call(evacuate)
@@ -345,7 +345,7 @@
     async def back():
         rig = context.rig
         rig.app.delete(f"op/evacuate/{data_centre}")
-        await rig.until(lambda: not any(vm.knowledge.evacuated for vm in rig.vms.values()))
+        await rig.until(lambda: not any(vm.routing_state.evacuated_data_centres for vm in rig.vms.values()))
 
     context.call(back)
 
@@ -356,7 +356,7 @@
         rig = context.rig
         rig.servers[name].register(state="draining")
         await rig.until(
-            lambda: all(vm.knowledge.standings[name].server.leaving for vm in rig.vms.values())
+            lambda: all(vm.routing_state.server_states[name].server.leaving for vm in rig.vms.values())
         )
 
     context.call(leaving)
@@ -369,7 +369,7 @@
         rig.servers[name].register(cold_ms=ms, born=77)
         await rig.until(
             lambda: all(
-                vm.knowledge.standings[name].server.born_ms == 77 for vm in rig.vms.values()
+                vm.routing_state.server_states[name].server.born_ms == 77 for vm in rig.vms.values()
             )
         )
 
@@ -435,7 +435,7 @@
     async def older():
         config = {**first_config(), "version": version}
         item = KeyValue("op/config", msgspec.json.encode(config), 1_000_000)
-        context.rig.vms[vm].feed._learn(WatchBatch(1_000_000, (item,)))
+        context.rig.vms[vm].feed._receive(WatchBatch(1_000_000, (item,)))
 
     context.call(older)
 
@@ -462,7 +462,7 @@
     address = f"localhost:{rig.vms[seed].ports.state}"
     manager = rig.vm(name, "north-1", seeds=(address,))
     vm = context.stack.enter_context(context.portal.wrap_async_context_manager(manager))
-    context.call(rig.until, lambda: vm.knowledge.config is not None)
+    context.call(rig.until, lambda: vm.routing_state.config is not None)
 
 
 @then('"{vm}" is not ready')
@@ -478,7 +478,7 @@
         rig = context.rig
         rig.app.stand_in.faults.set_out(True)
         vms = rig.vms.values()
-        await rig.until(lambda: not any(vm.feed._store_ok for vm in vms))
+        await rig.until(lambda: not any(vm.feed._store_reachable for vm in vms))
         rig.servers[name].withdraw()
 
     context.call(lapse)
@@ -489,7 +489,7 @@
     async def out():
         rig = context.rig
         rig.app.stand_in.faults.set_out(True)
-        await rig.until(lambda: not any(vm.feed.follows for vm in rig.vms.values()))
+        await rig.until(lambda: not any(vm.feed.watches_store for vm in rig.vms.values()))
 
     context.call(out)
 
@@ -505,7 +505,7 @@
 
     async def known():
         await context.rig.until(
-            lambda: all(vm.knowledge.is_cold(name, clock.now()) for vm in vms), limit_s=limit
+            lambda: all(vm.routing_state.is_cold(name, clock.now()) for vm in vms), limit_s=limit
         )
 
     context.call(known)
@@ -521,15 +521,15 @@
     async def back():
         rig = context.rig
         rig.app.stand_in.faults.set_out(False)
-        await rig.until(lambda: all(vm.feed._store_ok for vm in rig.vms.values()))
+        await rig.until(lambda: all(vm.feed._store_reachable for vm in rig.vms.values()))
 
     context.call(back)
 
 
 @then('"{vm}" drops server "{name}" within {limit:d} s')
 def step_drops(context, vm, name, limit):
-    knowledge = context.rig.vms[vm].knowledge
-    context.call(lambda: context.rig.until(lambda: name not in knowledge.standings, limit_s=limit))
+    routing_state = context.rig.vms[vm].routing_state
+    context.call(lambda: context.rig.until(lambda: name not in routing_state.server_states, limit_s=limit))
 
 
 @when('the registration of "{vm}" lapses')
@@ -715,7 +715,7 @@
 @when("the VMs have told each other")
 def step_told_other(context):
     vm = context.rig.vms["s1"]
-    context.call(context.rig.until, lambda: vm.fleet.holders._holders)
+    context.call(context.rig.until, lambda: vm.fleet.prefix_holders._holders)
 
 
 def copied_from(context, server):
@@ -740,7 +740,7 @@
         rig = context.rig
         # New watches work: the one that waits now hears nothing more.
         rig.app.deaf_watches = 1
-        rig.vms[vm].feed._watching.cancel()
+        rig.vms[vm].feed._follow_scope.cancel()
         await rig.until(lambda: rig.app.deaf_watches == 0)
         withdraw_key(rig, name)
 
@@ -768,9 +768,9 @@
 @when('a caller of "{key}" asks "{vm}" for "{path}" within {limit:d} s of that')
 def step_ask_within(context, key, vm, path, limit):
     version = context.rig.config["version"]
-    knowledge = context.rig.vms[vm].knowledge
+    routing_state = context.rig.vms[vm].routing_state
     context.call(
-        lambda: context.rig.until(lambda: knowledge.config.version == version, limit_s=limit)
+        lambda: context.rig.until(lambda: routing_state.config.version == version, limit_s=limit)
     )
     ask(context, vm, path, key=key)
 
@@ -798,7 +798,7 @@
 
 
 def allowance_of(context):
-    return context.rig.vms["n1"].relay._path._cfg.repeat_allowance
+    return context.rig.vms["n1"].relay._handler._cfg.repeat_allowance
 
 
 @when('its settings file says "{line}" while a stream runs')
@@ -807,7 +807,7 @@
         rig = context.rig
         rig.servers["m1"].work_ms = 200
         async with anyio.create_task_group() as tg:
-            tg.start_soon(context.file.follow)
+            tg.start_soon(context.file.poll)
 
             async def stream():
                 context.stream = await rig.call(
@@ -828,7 +828,7 @@
 @when('its settings file says "{line}" and it reads it')
 def step_changed(context, line):
     write_settings(context, line)
-    context.call(context.file.read)
+    context.call(context.file.reload)
 
 
 @then("within {limit:d} s its repeats are bounded by {allowance:d}")
@@ -892,7 +892,7 @@
 @then('"{vm}" still hears {count:d} VMs')
 def step_hears(context, vm, count):
     fleet = context.rig.vms[vm].fleet
-    context.call(context.rig.until, lambda: fleet.heard() == count)
+    context.call(context.rig.until, lambda: fleet.live_vm_count() == count)
 
 
 @given('a small gateway over data centres with VMs "{first}" and "{second}" and a southern region')
@@ -909,7 +909,7 @@
 @then('within {limit:d} s every VM has charged {tokens:d} tokens of "{name}" to "{vm}"')
 def step_charged(context, limit, tokens, name, vm):
     rig = context.rig
-    life = f"{vm}/{rig.vms[vm].fleet.me.incarnation}"
+    life = f"{vm}/{rig.vms[vm].fleet.own_vm.incarnation}"
 
     def charged(other):
         known = other.fleet.quota._peers.get(life)
@@ -925,7 +925,7 @@
         rig = context.rig
         found = rig.vms[vm]
         context.ports = found.ports
-        path, forecasts = found.relay._path, found.relay._path.forecasts
+        path, forecasts = found.relay._handler, found.relay._handler.forecasts
 
         def fail():
             path.forecasts = forecasts
@@ -963,7 +963,7 @@
 )
 def step_gets_late(context, key, ms, status, path, vm):
     # Of the 4 s that it may take, from 1.2 s to 2 s it takes what ends before 3.6 s, then nothing.
-    admission = context.rig.vms[vm].relay._path._admission
+    admission = context.rig.vms[vm].relay._handler._admission
     options = {"method": "POST", "body": BODY, "tokens": b"50,10"} if "chat" in path else {}
 
     async def ask_late():
@@ -989,7 +989,7 @@
             sock.bind(("127.0.0.1", 0))
             rig.servers[name].port = sock.getsockname()[1]
         rig.servers[name].register()
-        standings = [vm.knowledge.standings for vm in rig.vms.values()]
+        standings = [vm.routing_state.server_states for vm in rig.vms.values()]
         port = rig.servers[name].port
         await rig.until(lambda: all(it[name].server.port == port for it in standings))
 
@@ -998,7 +998,7 @@
 
 @given('"{vm}" has used up its budget for repeats')
 def step_no_budget(context, vm):
-    path = context.rig.vms[vm].relay._path
+    path = context.rig.vms[vm].relay._handler
     for service in ("books", "model"):
         budget = path._budget(service)
         budget.reconfigure(FleetRetryLimits(ratio=0.0, allowance=0.0, window_ms=1_000_000))
@@ -1033,7 +1033,7 @@
 @given('VM "{name}" has started beside "{other}"')
 def step_started_beside(context, name, other):
     rig = context.rig
-    manager = rig.vm(name, rig.vms[other].fleet.me.data_centre)
+    manager = rig.vm(name, rig.vms[other].fleet.own_vm.data_centre)
     context.stack.enter_context(context.portal.wrap_async_context_manager(manager))
     context.call(rig.settled)
 
@@ -1066,9 +1066,9 @@
         feed = context.feed = context.rig.vms[vm].feed
         context.at = SystemClock().now()
         context.reads = context.rig.app.stand_in.calls["range"]
-        missing = feed._complete + 1
-        feed.told(missing, context.at, source=None)
-        feed._learn(WatchBatch(missing))
+        missing = feed._complete_revision + 1
+        feed.note_peer_revision(missing, context.at, source=None)
+        feed._receive(WatchBatch(missing))
         # So far ahead that no change of the gateway's own reaches it.
         context.later = missing + 1_000
 
@@ -1081,7 +1081,7 @@
         rig, feed = context.rig, context.feed
         rig.app.put("other/x", b"1")
         wanted = rig.app.stand_in.store.revision
-        await rig.until(lambda: feed._complete >= wanted)
+        await rig.until(lambda: feed._complete_revision >= wanted)
 
     context.call(change)
 
@@ -1091,7 +1091,7 @@
 def step_ahead_later(context, seconds):
     async def later():
         context.at += seconds * 1_000
-        context.feed.told(context.later, context.at, source=None)
+        context.feed.note_peer_revision(context.later, context.at, source=None)
         await anyio.sleep(0.2)
 
     context.call(later)
@@ -1121,7 +1121,7 @@
             raise GatewayError(ErrorKind.PLATFORM_OUT, kind)
 
         feed._store._call = unanswered
-        feed._watching.cancel()
+        feed._follow_scope.cancel()
         withdraw_key(rig, name)
 
     context.call(silence)
@@ -1148,7 +1148,7 @@
 @then('within {limit:d} s "{vm}" reckons that it hears them {ms:d} ms late, added up')
 def step_lag(context, limit, vm, ms):
     fleet = context.rig.vms[vm].fleet
-    context.call(lambda: context.rig.until(lambda: fleet.region_lag_ms == ms, limit_s=limit))
+    context.call(lambda: context.rig.until(lambda: fleet.report_lag_ms == ms, limit_s=limit))
 
 
 @when('VM "{gone}" has crashed and "{vm}" hears it no more')
@@ -1158,7 +1158,7 @@
         rig.vms[gone].kill()
         peers = rig.vms[vm].fleet.peers
         await rig.until(
-            lambda: gone not in peers.by_name or not peers.is_heard(peers.by_name[gone])
+            lambda: gone not in peers.by_name or not peers.is_live(peers.by_name[gone])
         )
 
     context.call(crash)
