--- a/bench/gateway_relay.py
+++ b/bench/gateway_relay.py
@@ -76,14 +76,14 @@
     async def one(number: int) -> None:
         async with limit:
             headers = caller_headers(f"{number:016x}", key="small", wait_ms=2_900, tokens=tokens)
-            conn = await pool.take(("127.0.0.1", port))
+            conn = await pool.acquire(("127.0.0.1", port))
             method = "GET" if tokens is None else "POST"
             conn.send(request_bytes(method, path.encode(), headers, b""))
-            head = await conn.head()
-            await conn.body()
+            head = await conn.read_head()
+            await conn.read_body()
             if head.status != 200:
                 raise RuntimeError(f"status {head.status}")
-            pool.give_back(("127.0.0.1", port), conn)
+            pool.release(("127.0.0.1", port), conn)
 
     async with anyio.create_task_group() as tg:
         for number in range(count):
--- a/bench/peer_call.py
+++ b/bench/peer_call.py
@@ -17,7 +17,7 @@
 import anyio
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent / "tests"))
-from hickorybeam.model import AnswerChunk, AnswerEnd, AnswerHead
+from hickorybeam.model import ResponseChunk, ResponseEnd, ResponseHead
 from hickorybeam.peers import make_authority, make_certificate
 from hickorybeam.settings import PeerSettings, TlsSettings
 from support.peer_nodes import ECHO, Node, Words, make_call
@@ -85,12 +85,12 @@
 
 def answering(parts: int, gap_ms: float):
     async def run(call):
-        yield AnswerHead(200)
+        yield ResponseHead(200)
         for _ in range(parts):
             if gap_ms:
                 await anyio.sleep(gap_ms / 1000)
-            yield AnswerChunk(b"x" * PART_BYTES, tokens=1)
-        yield AnswerEnd()
+            yield ResponseChunk(b"x" * PART_BYTES, tokens=1)
+        yield ResponseEnd()
 
     return run
 
--- a/bench/relay.py
+++ b/bench/relay.py
@@ -90,7 +90,7 @@
         """Return the state."""
         return self.state
 
-    async def changed(self, position: int) -> ConfigState:
+    async def wait_past(self, position: int) -> ConfigState:
         """Nothing ever changes."""
         if position >= self.state.position:
             await anyio.sleep_forever()
--- a/bench/soak/gateway.py
+++ b/bench/soak/gateway.py
@@ -31,7 +31,7 @@
 from hickorybeam.clock import SystemClock
 from hickorybeam.demo.deployment import free_ports
 from hickorybeam.demo.platform import Answer
-from hickorybeam.http1 import BrokenAnswerError, ConnectFailedError, UpstreamPool
+from hickorybeam.http1 import BrokenResponseError, ConnectFailedError, UpstreamPool
 from hickorybeam.http1.head import request_bytes
 from hickorybeam.settings import (
     GatewaySettings,
@@ -189,13 +189,13 @@
         conn = None
         try:
             with anyio.fail_after(CALL_LIMIT_S):
-                conn = await self._pool.take(("127.0.0.1", port), fresh=True)
+                conn = await self._pool.acquire(("127.0.0.1", port), fresh=True)
                 conn.send(data)
-                head = await conn.head()
+                head = await conn.read_head()
                 status, headers = head.status, head.headers
-                while chunk := await conn.chunk():
+                while chunk := await conn.read_chunk():
                     parts.append(chunk)
-        except (BrokenAnswerError, ConnectFailedError, TimeoutError):
+        except (BrokenResponseError, ConnectFailedError, TimeoutError):
             return Answer(status, headers, b"".join(parts), whole=False)
         finally:
             if conn is not None:
--- a/bench/ticket_spread.py
+++ b/bench/ticket_spread.py
@@ -59,7 +59,7 @@
         """Note when each position came into force."""
         position = 0
         while True:
-            state = await self.config.changed(position)
+            state = await self.config.wait_past(position)
             now = time.perf_counter()
             for passed in range(position + 1, state.position + 1):
                 self.reached[passed] = now
@@ -96,7 +96,7 @@
             ready = anyio.Event()
             tg.start_soon(lambda node=node, ready=ready: node.kernel.run(ready=ready.set))
             await ready.wait()
-            node.members.listening(http_port=1)
+            node.members.announce_serving(http_port=1)
             tg.start_soon(node.observe)
         await clock.sleep(SETTLE_MS)
         idle, idle_bytes = await count_idle(served, clock, changes * GAP_MS)
--- a/src/entry.py
+++ b/src/entry.py
@@ -20,7 +20,7 @@
     """Run until SIGTERM."""
     path = os.environ[SETTINGS_VARIABLE]
     cfg = load_settings(path)
-    with logs.logged(cfg.log):
+    with logs.process_logging(cfg.log):
         anyio.run(run, cfg, path)
 
 
--- a/src/hickorybeam/__init__.py
+++ b/src/hickorybeam/__init__.py
@@ -3,15 +3,15 @@
 from __future__ import annotations
 
 from hickorybeam.clock import Clock, ManualClock, SystemClock
-from hickorybeam.errors import Answer, ErrorKind, GatewayError, Ran, answer_for
+from hickorybeam.errors import ErrorResponse, ErrorKind, GatewayError, Ran, error_response
 
 __all__ = (
-    "Answer",
+    "ErrorResponse",
     "Clock",
     "ErrorKind",
     "GatewayError",
     "ManualClock",
     "Ran",
     "SystemClock",
-    "answer_for",
+    "error_response",
 )
--- a/src/hickorybeam/backends/engine.py
+++ b/src/hickorybeam/backends/engine.py
@@ -11,7 +11,7 @@
 from hickorybeam.backends.headers import engine_headers, returned
 from hickorybeam.backends.sse import SseReader, usage_of
 from hickorybeam.errors import ErrorKind, GatewayError
-from hickorybeam.model import AnswerChunk, AnswerEnd, AnswerHead, AnswerPart, CallKind
+from hickorybeam.model import ResponseChunk, ResponseEnd, ResponseHead, ResponsePart, CallKind
 
 if TYPE_CHECKING:
     from collections.abc import AsyncGenerator, Callable
@@ -70,7 +70,7 @@
         self.stream_id = self.exchange.header(b"x-stream-id")
         return self.exchange
 
-    async def next_part(self) -> AnswerChunk | None:
+    async def next_part(self) -> ResponseChunk | None:
         """Return the next whole events, resuming as needed; ``None`` at the proper end."""
         while True:
             assert self.exchange is not None
@@ -95,7 +95,7 @@
         if self.exchange is not None:
             await self.exchange.close()
 
-    def _take(self, chunk: bytes) -> AnswerChunk | None:
+    def _take(self, chunk: bytes) -> ResponseChunk | None:
         if not chunk:
             if not self.reader.done:
                 raise broken()
@@ -104,7 +104,7 @@
         if pieces is None or not pieces.data:
             self.expect()
             return None
-        return AnswerChunk(pieces.data, pieces.events)
+        return ResponseChunk(pieces.data, pieces.events)
 
     async def _resume(self, exc: ExchangeError) -> None:
         """Go on at the same engine over a new connection, from the next token.
@@ -151,7 +151,7 @@
     *,
     retries: Counter,
     cancel: Callable[[BackendServer, str], None],
-) -> AsyncGenerator[AnswerPart, None]:
+) -> AsyncGenerator[ResponsePart, None]:
     """Run a call at an engine and yield its answer.
 
     :param cancel: told the stream's id when the answer is not read to its end.
@@ -165,7 +165,7 @@
         if streamed and exchange.status == OK:
             first = await run.next_part()
             # The head waits for the first token: until then another engine may still serve.
-            yield AnswerHead(exchange.status, returned(exchange.headers))
+            yield ResponseHead(exchange.status, returned(exchange.headers))
             part = first
             while part is not None:
                 yield part
@@ -175,14 +175,14 @@
                 part = await run.next_part()
             ended = True
             await drain_end(run)
-            yield AnswerEnd(run.reader.usage, backend.name, backend.region)
+            yield ResponseEnd(run.reader.usage, backend.name, backend.region)
             return
         body = await whole_body(run, exchange, call, backend)
         ended = True
-        yield AnswerHead(exchange.status, returned(exchange.headers))
+        yield ResponseHead(exchange.status, returned(exchange.headers))
         usage = whole_usage(body, call, backend) if exchange.status == OK else None
-        yield AnswerChunk(body, usage.completion_tokens if usage else 0)
-        yield AnswerEnd(usage, backend.name, backend.region)
+        yield ResponseChunk(body, usage.completion_tokens if usage else 0)
+        yield ResponseEnd(usage, backend.name, backend.region)
     finally:
         if not ended and run.stream_id:
             cancel(backend, run.stream_id)
--- a/src/hickorybeam/backends/exchange.py
+++ b/src/hickorybeam/backends/exchange.py
@@ -9,7 +9,7 @@
 import anyio
 import httpcore
 
-from hickorybeam.backends.http1 import BrokenAnswerError, InvalidRequestError
+from hickorybeam.backends.http1 import BrokenResponseError, InvalidRequestError
 from hickorybeam.errors import ErrorKind, GatewayError
 
 if TYPE_CHECKING:
@@ -20,7 +20,7 @@
 
 __all__ = ("Exchange", "ExchangeError")
 
-LOST = (httpcore.NetworkError, anyio.ClosedResourceError, BrokenAnswerError)
+LOST = (httpcore.NetworkError, anyio.ClosedResourceError, BrokenResponseError)
 
 
 class ExchangeError(Exception):
--- a/src/hickorybeam/backends/http1.py
+++ b/src/hickorybeam/backends/http1.py
@@ -17,7 +17,7 @@
 if TYPE_CHECKING:
     from hickorybeam.backends.headers import RawHeaders
 
-__all__ = ("BrokenAnswerError", "HttpConnection", "InvalidRequestError")
+__all__ = ("BrokenResponseError", "HttpConnection", "InvalidRequestError")
 
 READ_BYTES = 65_536
 MAX_HEAD_BYTES = 100_000
@@ -33,7 +33,7 @@
     """The request cannot be written as HTTP; nothing was sent."""
 
 
-class BrokenAnswerError(Exception):
+class BrokenResponseError(Exception):
     """The answer is not HTTP, or ended before its proper end."""
 
 
@@ -64,7 +64,7 @@
         """Send a request and read the head of its answer.
 
         :raises InvalidRequestError: nothing was sent.
-        :raises BrokenAnswerError: the answer's head did not come.
+        :raises BrokenResponseError: the answer's head did not come.
         """
         data = request_bytes(method, target, headers, body)
         self._start(method)
@@ -109,14 +109,14 @@
             if self._head and self._until_close:
                 self._whole = True
                 return
-            raise BrokenAnswerError
+            raise BrokenResponseError
         if self._ended:
             self._surplus = True
             return
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as exc:
-            raise BrokenAnswerError from exc
+            raise BrokenResponseError from exc
 
     def on_message_begin(self) -> None:
         """Start the head of an answer."""
@@ -129,7 +129,7 @@
         """Take one header."""
         self._head_bytes += len(name) + len(value)
         if self._head_bytes > MAX_HEAD_BYTES:
-            raise BrokenAnswerError
+            raise BrokenResponseError
         self.headers.append((name, value))
 
     def on_headers_complete(self) -> None:
@@ -139,7 +139,7 @@
         self.status = self._parser.get_status_code()
         if self.status < FIRST_FINAL_STATUS:
             if self.status == SWITCHING_PROTOCOLS:
-                raise BrokenAnswerError
+                raise BrokenResponseError
             return
         self._head = True
         self._keep_alive = self._parser.should_keep_alive()
--- a/src/hickorybeam/backends/plain.py
+++ b/src/hickorybeam/backends/plain.py
@@ -7,7 +7,7 @@
 from hickorybeam.backends.caller import Caller, Outgoing, lost
 from hickorybeam.backends.exchange import ExchangeError
 from hickorybeam.backends.headers import plain_headers, returned
-from hickorybeam.model import AnswerChunk, AnswerEnd, AnswerHead, AnswerPart
+from hickorybeam.model import ResponseChunk, ResponseEnd, ResponseHead, ResponsePart
 
 if TYPE_CHECKING:
     from collections.abc import AsyncGenerator
@@ -19,7 +19,7 @@
 
 async def run_plain(
     caller: Caller, call: Call, backend: BackendServer, *, timeout_ms: int
-) -> AsyncGenerator[AnswerPart, None]:
+) -> AsyncGenerator[ResponsePart, None]:
     """Run a call at a plain service and yield its answer.
 
     :param timeout_ms: limit on the time to the head of the answer.
@@ -36,16 +36,16 @@
     except ExchangeError as exc:
         raise lost(call, backend, exc, begun=False) from exc
     try:
-        yield AnswerHead(exchange.status, returned(exchange.headers))
+        yield ResponseHead(exchange.status, returned(exchange.headers))
         exchange.expect()
         while chunk := await exchange.next_chunk():
-            yield AnswerChunk(chunk)
+            yield ResponseChunk(chunk)
             exchange.expect()
     except ExchangeError as exc:
         raise lost(call, backend, exc, begun=True) from exc
     finally:
         await exchange.close()
-    yield AnswerEnd(None, backend.name, backend.region)
+    yield ResponseEnd(None, backend.name, backend.region)
 
 
 def target_of(path: str) -> bytes:
--- a/src/hickorybeam/backends/service.py
+++ b/src/hickorybeam/backends/service.py
@@ -22,7 +22,7 @@
 
     from hickorybeam.clock import Clock
     from hickorybeam.kernel import Kernel, Started
-    from hickorybeam.model import AnswerPart, BackendServer, Call, LoadReport
+    from hickorybeam.model import ResponsePart, BackendServer, Call, LoadReport
     from hickorybeam.settings import Settings
     from hickorybeam.telemetry import Counters
 
@@ -83,9 +83,9 @@
             while True:
                 state = self._config.current()
                 self._poller.follow(state.backends.values(), tg)
-                await self._config.changed(state.position)
+                await self._config.wait_past(state.position)
 
-    def run(self, call: Call, backend: BackendServer) -> AsyncIterator[AnswerPart]:
+    def run(self, call: Call, backend: BackendServer) -> AsyncIterator[ResponsePart]:
         """Run a call on one backend server; see :class:`hickorybeam.ports.BackendClient`."""
         if backend.kind is BackendKind.ENGINE:
             return run_engine(
--- a/src/hickorybeam/cli/main.py
+++ b/src/hickorybeam/cli/main.py
@@ -15,7 +15,7 @@
 from hickorybeam.cli.render import as_json, lines_of, table
 from hickorybeam.cli.tickets import TicketCommands
 from hickorybeam.clock import SystemClock
-from hickorybeam.errors import ANSWERS, GatewayError
+from hickorybeam.errors import ERROR_RESPONSES, GatewayError
 from hickorybeam.settings import load_settings
 
 __all__ = ("Commands", "main")
@@ -42,7 +42,7 @@
         from hickorybeam.telemetry import logs
 
         cfg = load_settings(settings)
-        with logs.logged(cfg.log):
+        with logs.process_logging(cfg.log):
             if cfg.gateway is not None:
                 from hickorybeam import gateway
 
@@ -76,7 +76,7 @@
         """List every error kind with its answer."""
         rows = [
             (kind.value, answer.status, answer.ran.value, answer.retry.value, answer.text)
-            for kind, answer in ANSWERS.items()
+            for kind, answer in ERROR_RESPONSES.items()
         ]
         header = ("code", "status", "ran", "retry", "meaning")
         if json:
--- a/src/hickorybeam/demo/platform.py
+++ b/src/hickorybeam/demo/platform.py
@@ -12,7 +12,7 @@
 from hickorybeam.gateway.feed import FeedService
 from hickorybeam.gateway.fleet import FleetService
 from hickorybeam.gateway.relay import Ports, RelayService
-from hickorybeam.http1 import BrokenAnswerError, UpstreamPool
+from hickorybeam.http1 import BrokenResponseError, UpstreamPool
 from hickorybeam.http1.head import request_bytes
 from hickorybeam.ports import FEED, FLEET, RELAY
 from hickorybeam.settings import (
@@ -187,18 +187,18 @@
 
     async def exchange(self, port: int, data: bytes) -> Answer:
         """Send bytes on a new connection and read one answer."""
-        conn = await self._pool.take(("127.0.0.1", port), fresh=True)
+        conn = await self._pool.acquire(("127.0.0.1", port), fresh=True)
         parts: list[bytes] = []
         status = 0
         headers: RawHeaders = ()
         try:
             with anyio.fail_after(CALL_LIMIT_S):
                 conn.send(data)
-                head = await conn.head()
+                head = await conn.read_head()
                 status, headers = head.status, head.headers
-                while chunk := await conn.chunk():
+                while chunk := await conn.read_chunk():
                     parts.append(chunk)
-        except BrokenAnswerError:
+        except BrokenResponseError:
             return Answer(status, headers, b"".join(parts), whole=False)
         finally:
             conn.abort()
--- a/src/hickorybeam/dispatch/attempts.py
+++ b/src/hickorybeam/dispatch/attempts.py
@@ -11,7 +11,7 @@
 from hickorybeam.dispatch.messages import Begun, Ended, Offer, PeerEnded, Retry
 from hickorybeam.errors import ErrorKind, GatewayError, Ran
 from hickorybeam.kernel import Reply
-from hickorybeam.model import AnswerChunk, AnswerEnd, AnswerHead, VmState
+from hickorybeam.model import ResponseChunk, ResponseEnd, ResponseHead, VmState
 from hickorybeam.policy.job import Outcome, Refuse, Spill, Start
 from hickorybeam.policy.retry import MOST_ATTEMPTS, RetryDenied, backoff_ms, may_repeat
 
@@ -23,7 +23,7 @@
     from hickorybeam.dispatch.load_task import LoadTask
     from hickorybeam.dispatch.metrics import LoadMetrics
     from hickorybeam.dispatch.running import RunningCall
-    from hickorybeam.model import AnswerPart, EntryVm
+    from hickorybeam.model import ResponsePart, EntryVm
     from hickorybeam.policy.job import Decision, Job
     from hickorybeam.policy.retry import RetryBudget
     from hickorybeam.ports import BackendClient, ConfigView, Members, Peers
@@ -97,7 +97,7 @@
         self._pause = 0
         self._used = 0
 
-    async def run(self, first: Decision) -> AsyncGenerator[AnswerPart, None]:
+    async def run(self, first: Decision) -> AsyncGenerator[ResponsePart, None]:
         """Yield the answer's parts, starting from the first decision."""
         decision = first
         while True:
@@ -111,7 +111,7 @@
             except GatewayError as exc:
                 decision = await self._next(decision, exc)
 
-    def _carry_out(self, decision: Decision) -> AsyncGenerator[AnswerPart, None]:
+    def _carry_out(self, decision: Decision) -> AsyncGenerator[ResponsePart, None]:
         match decision:
             case Start(backend=backend):
                 return self._on_backend(backend)
@@ -120,11 +120,11 @@
             case Refuse():
                 raise refusal(decision)
 
-    async def _on_backend(self, name: str) -> AsyncGenerator[AnswerPart, None]:
+    async def _on_backend(self, name: str) -> AsyncGenerator[ResponsePart, None]:
         near, running, job = self._near, self._running, self._job
         outcome = Outcome.CANCELLED
         self._used = 0
-        parts: AsyncIterator[AnswerPart] | None = None
+        parts: AsyncIterator[ResponsePart] | None = None
         try:
             server = near.config.current().backends.get(name)
             if server is None:
@@ -134,14 +134,14 @@
             parts = near.backends.run(call, server)
             failed = begun = False
             async for part in self._parts(parts):
-                if isinstance(part, AnswerHead):
+                if isinstance(part, ResponseHead):
                     failed = part.status >= FIRST_SERVER_ERROR
                     yield replace(part, headers=(*part.headers, (REGION_HEADER, server.region)))
                     continue
                 if not begun:
                     begun = True
                     near.load.mailbox.post(Begun(job, name))
-                if isinstance(part, AnswerEnd):
+                if isinstance(part, ResponseEnd):
                     outcome = Outcome.FAILED if failed else Outcome.OK
                 yield part
         except GatewayError as exc:
@@ -152,7 +152,7 @@
             if parts is not None:
                 await close_parts(parts)
 
-    async def _in_region(self, region: str) -> AsyncGenerator[AnswerPart, None]:
+    async def _in_region(self, region: str) -> AsyncGenerator[ResponsePart, None]:
         near, running = self._near, self._running
         vm = self._vm_in(region)
         call = replace(
@@ -162,7 +162,7 @@
             # The receiver would take an idempotency key for one of its own issue.
             idempotency_key="",
         )
-        parts: AsyncIterator[AnswerPart] | None = None
+        parts: AsyncIterator[ResponsePart] | None = None
         answered = False
         running.region = region
         try:
@@ -183,7 +183,7 @@
     def _left_ms(self) -> int:
         return max(0, self._deadline - self._near.clock.now())
 
-    async def _parts(self, parts: AsyncIterator[AnswerPart]) -> AsyncGenerator[AnswerPart, None]:
+    async def _parts(self, parts: AsyncIterator[ResponsePart]) -> AsyncGenerator[ResponsePart, None]:
         """Yield the parts, the head together with the first part that follows it.
 
         An engine sends its head long before its first token. Held until then, a call whose
@@ -194,11 +194,11 @@
         running.sent = True
         head = await running.first_part(parts, clock=clock, deadline=self._deadline)
         part = head
-        if isinstance(head, AnswerHead):
+        if isinstance(head, ResponseHead):
             part = await running.first_part(parts, clock=clock, deadline=self._deadline)
             yield head
-        while not isinstance(part, AnswerEnd):
-            if isinstance(part, AnswerChunk):
+        while not isinstance(part, ResponseEnd):
+            if isinstance(part, ResponseChunk):
                 self._used += part.tokens
             yield part
             part = await running.next_part(parts)
@@ -283,7 +283,7 @@
     return await reply.wait()
 
 
-async def close_parts(parts: AsyncIterator[AnswerPart]) -> None:
+async def close_parts(parts: AsyncIterator[ResponsePart]) -> None:
     """Close an answer, which cancels it at the engine if it still runs there.
 
     Shielded, since it mostly happens while the caller's task is being cancelled: unshielded,
@@ -291,4 +291,4 @@
     engine that hangs cannot keep the task.
     """
     with anyio.move_on_after(CLOSE_TIMEOUT_S, shield=True):
-        await cast("AsyncGenerator[AnswerPart, None]", parts).aclose()
+        await cast("AsyncGenerator[ResponsePart, None]", parts).aclose()
--- a/src/hickorybeam/dispatch/running.py
+++ b/src/hickorybeam/dispatch/running.py
@@ -13,7 +13,7 @@
     from collections.abc import AsyncIterator, Awaitable
 
     from hickorybeam.clock import Clock
-    from hickorybeam.model import AnswerPart, Call, ConfigState
+    from hickorybeam.model import ResponsePart, Call, ConfigState
 
 __all__ = ("RunningCall", "RunningCalls")
 
@@ -79,7 +79,7 @@
             raise self._fault
         raise GatewayError(ErrorKind.BACKEND_SILENT, "recalled from a slow server")
 
-    async def next_part(self, parts: AsyncIterator[AnswerPart]) -> AnswerPart:
+    async def next_part(self, parts: AsyncIterator[ResponsePart]) -> ResponsePart:
         """Return the next part; an answer that stops without its end is an error."""
         try:
             return await self.wait(parts.__anext__())
@@ -87,8 +87,8 @@
             raise GatewayError(ErrorKind.STREAM_BROKEN) from None
 
     async def first_part(
-        self, parts: AsyncIterator[AnswerPart], *, clock: Clock, deadline: int
-    ) -> AnswerPart:
+        self, parts: AsyncIterator[ResponsePart], *, clock: Clock, deadline: int
+    ) -> ResponsePart:
         """Return the first part, or raise ``DEADLINE`` if it does not come in time."""
         left = deadline - clock.now()
         with anyio.move_on_after(max(0, left) / 1000):
--- a/src/hickorybeam/dispatch/service.py
+++ b/src/hickorybeam/dispatch/service.py
@@ -19,7 +19,7 @@
 from hickorybeam.dispatch.spend import Spend
 from hickorybeam.errors import ErrorKind, GatewayError
 from hickorybeam.kernel import Service
-from hickorybeam.model import AnswerHead
+from hickorybeam.model import ResponseHead
 from hickorybeam.policy.fair_queue import share_weight
 from hickorybeam.policy.job import Job, Refuse, Spill, Start
 from hickorybeam.policy.profile import profile_named
@@ -45,7 +45,7 @@
     from hickorybeam.clock import Clock
     from hickorybeam.dispatch.checks import Permit
     from hickorybeam.kernel import Kernel, Started
-    from hickorybeam.model import AnswerPart, Call, ConfigState
+    from hickorybeam.model import ResponsePart, Call, ConfigState
     from hickorybeam.policy.job import Decision
     from hickorybeam.settings import Settings
     from hickorybeam.telemetry import Counters
@@ -142,7 +142,7 @@
             "accounts": self._explanations.as_dict(),
         }
 
-    async def run(self, call: Call) -> AsyncIterator[AnswerPart]:
+    async def run(self, call: Call) -> AsyncIterator[ResponsePart]:
         """Run a call and yield its answer's parts."""
         arrived = self._clock.now()
         if call.idempotency_key:
@@ -157,14 +157,14 @@
             self._refuse_early(job)
             async with aclosing(self._run(call, job)) as parts:
                 async for part in parts:
-                    if isinstance(part, AnswerHead):
+                    if isinstance(part, ResponseHead):
                         self._note_first_part(arrived, call)
                     yield part
         except GatewayError as exc:
             self._counters.refusals.labels(exc.kind.value).inc()
             raise
 
-    async def _run(self, call: Call, job: Job) -> AsyncGenerator[AnswerPart, None]:
+    async def _run(self, call: Call, job: Job) -> AsyncGenerator[ResponsePart, None]:
         """Run a call that passed the checks; settles and cleans up whatever the ending.
 
         The queue is asked only after the account paid, so that a call waiting for a loan
@@ -275,6 +275,6 @@
     async def _watch_tickets(self) -> None:
         position = -1
         while True:
-            state = await self._config.changed(position)
+            state = await self._config.wait_past(position)
             position = state.position
             self._metrics.ended_by_ticket.inc(self._running.apply(state))
--- a/src/hickorybeam/dispatch/spend.py
+++ b/src/hickorybeam/dispatch/spend.py
@@ -4,10 +4,10 @@
 
 from typing import TYPE_CHECKING
 
-from hickorybeam.model import AnswerChunk, AnswerEnd, AnswerHead
+from hickorybeam.model import ResponseChunk, ResponseEnd, ResponseHead
 
 if TYPE_CHECKING:
-    from hickorybeam.model import AnswerPart, Call
+    from hickorybeam.model import ResponsePart, Call
     from hickorybeam.ports import Budget
 
 __all__ = ("Spend",)
@@ -36,14 +36,14 @@
         self._admission = await self._budget.take(self._call.account, self._call.cost)
         self._taken = self._call.cost
 
-    def saw(self, part: AnswerPart) -> None:
+    def saw(self, part: ResponsePart) -> None:
         """Note what a part of the answer says about tokens."""
         match part:
-            case AnswerHead():
+            case ResponseHead():
                 self._began = True
-            case AnswerChunk(tokens=tokens):
+            case ResponseChunk(tokens=tokens):
                 self._streamed += tokens
-            case AnswerEnd(usage=usage):
+            case ResponseEnd(usage=usage):
                 self._used = self._call.cost if usage is None else usage.total
 
     @property
--- a/src/hickorybeam/errors.py
+++ b/src/hickorybeam/errors.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-__all__ = ("ANSWERS", "Answer", "ErrorKind", "GatewayError", "Ran", "Retry", "answer_for")
+__all__ = ("ERROR_RESPONSES", "ErrorResponse", "ErrorKind", "GatewayError", "Ran", "Retry", "error_response")
 
 
 class Ran(Enum):
@@ -89,7 +89,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class ErrorResponse:
     """What a caller is told for one error kind."""
 
     status: int
@@ -101,58 +101,58 @@
 _NO, _UNKNOWN = Ran.NO, Ran.UNKNOWN
 _NEVER, _LATER, _ELSEWHERE = Retry.NEVER, Retry.LATER, Retry.ELSEWHERE
 
-ANSWERS: Mapping[ErrorKind, Answer] = MappingProxyType(
+ERROR_RESPONSES: Mapping[ErrorKind, ErrorResponse] = MappingProxyType(
     {
-        ErrorKind.BAD_REQUEST: Answer(400, _NO, _NEVER, "the request is malformed"),
-        ErrorKind.BODY_TOO_LARGE: Answer(413, _NO, _NEVER, "the body is over the size limit"),
-        ErrorKind.HEADERS_TOO_LARGE: Answer(431, _NO, _NEVER, "the headers are over the limit"),
-        ErrorKind.CALLER_TIMEOUT: Answer(408, _NO, _LATER, "the request did not arrive in time"),
-        ErrorKind.TOO_MANY_CONNECTIONS: Answer(429, _NO, _LATER, "too many open connections"),
-        ErrorKind.KEY_MISSING: Answer(401, _NO, _NEVER, "no key came with the request"),
-        ErrorKind.KEY_UNKNOWN: Answer(401, _NO, _NEVER, "the key is not known"),
-        ErrorKind.KEY_WITHDRAWN: Answer(401, _UNKNOWN, _NEVER, "the key was withdrawn"),
-        ErrorKind.OPERATOR_ONLY: Answer(403, _NO, _NEVER, "this call is for operators"),
-        ErrorKind.MODEL_UNKNOWN: Answer(404, _NO, _NEVER, "no such model for this account"),
-        ErrorKind.SERVICE_UNKNOWN: Answer(404, _NO, _NEVER, "no such service for this account"),
-        ErrorKind.ROUTE_UNKNOWN: Answer(404, _NO, _NEVER, "no such path"),
-        ErrorKind.METHOD_NOT_ALLOWED: Answer(405, _NO, _NEVER, "the method is not allowed here"),
-        ErrorKind.RESIDENCY: Answer(421, _NO, _ELSEWHERE, "residency forbids this region"),
-        ErrorKind.RESIDENCY_UNKNOWN: Answer(403, _NO, _NEVER, "the residency rule is not known"),
-        ErrorKind.RATE_LIMITED: Answer(429, _NO, _LATER, "the account is over its rate"),
-        ErrorKind.COST_OVER_BURST: Answer(413, _NO, _NEVER, "the cost is over the burst"),
-        ErrorKind.OVERLOADED: Answer(503, _NO, _LATER, "no capacity within the wait allowed"),
-        ErrorKind.VM_FULL: Answer(503, _NO, _ELSEWHERE, "this VM is out of memory for requests"),
-        ErrorKind.DEADLINE: Answer(504, _NO, _LATER, "the deadline passed before it could run"),
-        ErrorKind.NO_BACKEND: Answer(503, _NO, _LATER, "no backend server is able to serve this"),
-        ErrorKind.DRAINING: Answer(503, _NO, _ELSEWHERE, "this VM is shutting down"),
-        ErrorKind.NOT_READY: Answer(503, _NO, _ELSEWHERE, "this VM has no configuration yet"),
-        ErrorKind.CONFIG_BEHIND: Answer(503, _NO, _ELSEWHERE, "this VM is behind the sender"),
-        ErrorKind.CONFIG_STALE: Answer(503, _NO, _ELSEWHERE, "this VM learned nothing for long"),
-        ErrorKind.HOP_LIMIT: Answer(508, _NO, _NEVER, "the request was already forwarded once"),
-        ErrorKind.PEER_UNREACHABLE: Answer(503, _NO, _LATER, "the other VM cannot be reached"),
-        ErrorKind.PEER_REFUSED: Answer(403, _NO, _NEVER, "the peer does not belong to the fleet"),
-        ErrorKind.BACKEND_REFUSED: Answer(503, _NO, _LATER, "the backend server took no work"),
-        ErrorKind.BACKEND_FAILED: Answer(502, _UNKNOWN, _LATER, "the backend server failed"),
-        ErrorKind.BACKEND_UNKNOWN: Answer(502, _UNKNOWN, _NEVER, "the outcome is not known"),
-        ErrorKind.BACKEND_SILENT: Answer(504, _UNKNOWN, _LATER, "the backend server fell silent"),
-        ErrorKind.STREAM_BROKEN: Answer(502, _UNKNOWN, _LATER, "the stream ended early"),
-        ErrorKind.IDEMPOTENCY_MISMATCH: Answer(422, _NO, _NEVER, "key reused for other content"),
-        ErrorKind.IDEMPOTENCY_RUNNING: Answer(409, _UNKNOWN, _LATER, "the first attempt runs"),
-        ErrorKind.IDEMPOTENCY_INVALID: Answer(400, _NO, _NEVER, "not a valid idempotency key"),
-        ErrorKind.IDEMPOTENCY_EXPIRED: Answer(410, _UNKNOWN, _NEVER, "the idempotency key expired"),
-        ErrorKind.IDEMPOTENCY_LOST: Answer(410, _UNKNOWN, _NEVER, "the issuing VM is gone"),
-        ErrorKind.IDEMPOTENCY_FINISHED: Answer(409, _UNKNOWN, _NEVER, "it ran; its answer is gone"),
-        ErrorKind.PLATFORM_OUT: Answer(503, _NO, _LATER, "the platform service is out"),
-        ErrorKind.PLATFORM_UNKNOWN: Answer(503, _UNKNOWN, _LATER, "the write's answer was lost"),
-        ErrorKind.VALUE_TOO_LARGE: Answer(413, _NO, _NEVER, "the value is over the size limit"),
-        ErrorKind.WATCH_COMPACTED: Answer(410, _NO, _LATER, "the watched revision is compacted"),
-        ErrorKind.LEASE_LOST: Answer(409, _NO, _LATER, "the lease has lapsed"),
-        ErrorKind.FENCED: Answer(409, _NO, _NEVER, "a newer holder has taken over"),
-        ErrorKind.TICKET_INVALID: Answer(422, _NO, _NEVER, "the change ticket has faults"),
-        ErrorKind.TICKET_STALE: Answer(409, _NO, _NEVER, "a later change ticket is in force"),
-        ErrorKind.TICKET_CONFLICT: Answer(409, _NO, _NEVER, "the number has other content"),
-        ErrorKind.SETTINGS_INVALID: Answer(400, _NO, _NEVER, "the settings have faults"),
-        ErrorKind.INTERNAL: Answer(500, _UNKNOWN, _LATER, "an internal fault"),
+        ErrorKind.BAD_REQUEST: ErrorResponse(400, _NO, _NEVER, "the request is malformed"),
+        ErrorKind.BODY_TOO_LARGE: ErrorResponse(413, _NO, _NEVER, "the body is over the size limit"),
+        ErrorKind.HEADERS_TOO_LARGE: ErrorResponse(431, _NO, _NEVER, "the headers are over the limit"),
+        ErrorKind.CALLER_TIMEOUT: ErrorResponse(408, _NO, _LATER, "the request did not arrive in time"),
+        ErrorKind.TOO_MANY_CONNECTIONS: ErrorResponse(429, _NO, _LATER, "too many open connections"),
+        ErrorKind.KEY_MISSING: ErrorResponse(401, _NO, _NEVER, "no key came with the request"),
+        ErrorKind.KEY_UNKNOWN: ErrorResponse(401, _NO, _NEVER, "the key is not known"),
+        ErrorKind.KEY_WITHDRAWN: ErrorResponse(401, _UNKNOWN, _NEVER, "the key was withdrawn"),
+        ErrorKind.OPERATOR_ONLY: ErrorResponse(403, _NO, _NEVER, "this call is for operators"),
+        ErrorKind.MODEL_UNKNOWN: ErrorResponse(404, _NO, _NEVER, "no such model for this account"),
+        ErrorKind.SERVICE_UNKNOWN: ErrorResponse(404, _NO, _NEVER, "no such service for this account"),
+        ErrorKind.ROUTE_UNKNOWN: ErrorResponse(404, _NO, _NEVER, "no such path"),
+        ErrorKind.METHOD_NOT_ALLOWED: ErrorResponse(405, _NO, _NEVER, "the method is not allowed here"),
+        ErrorKind.RESIDENCY: ErrorResponse(421, _NO, _ELSEWHERE, "residency forbids this region"),
+        ErrorKind.RESIDENCY_UNKNOWN: ErrorResponse(403, _NO, _NEVER, "the residency rule is not known"),
+        ErrorKind.RATE_LIMITED: ErrorResponse(429, _NO, _LATER, "the account is over its rate"),
+        ErrorKind.COST_OVER_BURST: ErrorResponse(413, _NO, _NEVER, "the cost is over the burst"),
+        ErrorKind.OVERLOADED: ErrorResponse(503, _NO, _LATER, "no capacity within the wait allowed"),
+        ErrorKind.VM_FULL: ErrorResponse(503, _NO, _ELSEWHERE, "this VM is out of memory for requests"),
+        ErrorKind.DEADLINE: ErrorResponse(504, _NO, _LATER, "the deadline passed before it could run"),
+        ErrorKind.NO_BACKEND: ErrorResponse(503, _NO, _LATER, "no backend server is able to serve this"),
+        ErrorKind.DRAINING: ErrorResponse(503, _NO, _ELSEWHERE, "this VM is shutting down"),
+        ErrorKind.NOT_READY: ErrorResponse(503, _NO, _ELSEWHERE, "this VM has no configuration yet"),
+        ErrorKind.CONFIG_BEHIND: ErrorResponse(503, _NO, _ELSEWHERE, "this VM is behind the sender"),
+        ErrorKind.CONFIG_STALE: ErrorResponse(503, _NO, _ELSEWHERE, "this VM learned nothing for long"),
+        ErrorKind.HOP_LIMIT: ErrorResponse(508, _NO, _NEVER, "the request was already forwarded once"),
+        ErrorKind.PEER_UNREACHABLE: ErrorResponse(503, _NO, _LATER, "the other VM cannot be reached"),
+        ErrorKind.PEER_REFUSED: ErrorResponse(403, _NO, _NEVER, "the peer does not belong to the fleet"),
+        ErrorKind.BACKEND_REFUSED: ErrorResponse(503, _NO, _LATER, "the backend server took no work"),
+        ErrorKind.BACKEND_FAILED: ErrorResponse(502, _UNKNOWN, _LATER, "the backend server failed"),
+        ErrorKind.BACKEND_UNKNOWN: ErrorResponse(502, _UNKNOWN, _NEVER, "the outcome is not known"),
+        ErrorKind.BACKEND_SILENT: ErrorResponse(504, _UNKNOWN, _LATER, "the backend server fell silent"),
+        ErrorKind.STREAM_BROKEN: ErrorResponse(502, _UNKNOWN, _LATER, "the stream ended early"),
+        ErrorKind.IDEMPOTENCY_MISMATCH: ErrorResponse(422, _NO, _NEVER, "key reused for other content"),
+        ErrorKind.IDEMPOTENCY_RUNNING: ErrorResponse(409, _UNKNOWN, _LATER, "the first attempt runs"),
+        ErrorKind.IDEMPOTENCY_INVALID: ErrorResponse(400, _NO, _NEVER, "not a valid idempotency key"),
+        ErrorKind.IDEMPOTENCY_EXPIRED: ErrorResponse(410, _UNKNOWN, _NEVER, "the idempotency key expired"),
+        ErrorKind.IDEMPOTENCY_LOST: ErrorResponse(410, _UNKNOWN, _NEVER, "the issuing VM is gone"),
+        ErrorKind.IDEMPOTENCY_FINISHED: ErrorResponse(409, _UNKNOWN, _NEVER, "it ran; its answer is gone"),
+        ErrorKind.PLATFORM_OUT: ErrorResponse(503, _NO, _LATER, "the platform service is out"),
+        ErrorKind.PLATFORM_UNKNOWN: ErrorResponse(503, _UNKNOWN, _LATER, "the write's answer was lost"),
+        ErrorKind.VALUE_TOO_LARGE: ErrorResponse(413, _NO, _NEVER, "the value is over the size limit"),
+        ErrorKind.WATCH_COMPACTED: ErrorResponse(410, _NO, _LATER, "the watched revision is compacted"),
+        ErrorKind.LEASE_LOST: ErrorResponse(409, _NO, _LATER, "the lease has lapsed"),
+        ErrorKind.FENCED: ErrorResponse(409, _NO, _NEVER, "a newer holder has taken over"),
+        ErrorKind.TICKET_INVALID: ErrorResponse(422, _NO, _NEVER, "the change ticket has faults"),
+        ErrorKind.TICKET_STALE: ErrorResponse(409, _NO, _NEVER, "a later change ticket is in force"),
+        ErrorKind.TICKET_CONFLICT: ErrorResponse(409, _NO, _NEVER, "the number has other content"),
+        ErrorKind.SETTINGS_INVALID: ErrorResponse(400, _NO, _NEVER, "the settings have faults"),
+        ErrorKind.INTERNAL: ErrorResponse(500, _UNKNOWN, _LATER, "an internal fault"),
     }
 )
 
@@ -179,15 +179,15 @@
         entries: tuple[str, ...] = (),
         faults: tuple[str, ...] = (),
     ) -> None:
-        super().__init__(f"{kind.value}: {detail or ANSWERS[kind].text}")
+        super().__init__(f"{kind.value}: {detail or ERROR_RESPONSES[kind].text}")
         self.kind = kind
         self.detail = detail
-        self.ran = ran or ANSWERS[kind].ran
+        self.ran = ran or ERROR_RESPONSES[kind].ran
         self.retry_after_ms = retry_after_ms
         self.entries = entries
         self.faults = faults
 
 
-def answer_for(kind: ErrorKind) -> Answer:
+def error_response(kind: ErrorKind) -> ErrorResponse:
     """Return the table's row for a kind."""
-    return ANSWERS[kind]
+    return ERROR_RESPONSES[kind]
--- a/src/hickorybeam/front/gate.py
+++ b/src/hickorybeam/front/gate.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from hickorybeam.errors import ErrorKind, GatewayError, Retry, answer_for
+from hickorybeam.errors import ErrorKind, GatewayError, Retry, error_response
 from hickorybeam.front.identity import Identity, identify, is_operator, secret_of
 from hickorybeam.model import VmState
 from hickorybeam.policy.entries import entry_order
@@ -17,7 +17,7 @@
     from hickorybeam.front.request import Request
     from hickorybeam.kernel import Kernel
     from hickorybeam.model import EntryVm, ServiceRoute
-    from hickorybeam.ports import ConfigView, Dispatch, Members, Once
+    from hickorybeam.ports import ConfigView, Dispatch, Members, IdempotentCalls
     from hickorybeam.settings import Settings
     from hickorybeam.telemetry import Counters
 
@@ -40,7 +40,7 @@
     config: ConfigView
     dispatch: Dispatch
     members: Members | None
-    once: Once | None
+    once: IdempotentCalls | None
     memory: MemoryGate
     draining: bool = False
     # The routes of the state at this position, made into a table once for each state.
@@ -115,7 +115,7 @@
 
     def named(self, exc: GatewayError, allowed: frozenset[str] | None) -> GatewayError:
         """Add other VMs to a refusal that sends the caller elsewhere and names none."""
-        if answer_for(exc.kind).retry is Retry.ELSEWHERE and not exc.entries:
+        if error_response(exc.kind).retry is Retry.ELSEWHERE and not exc.entries:
             exc.entries = self.others(allowed)
         return exc
 
--- a/src/hickorybeam/front/refusals.py
+++ b/src/hickorybeam/front/refusals.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from hickorybeam.errors import GatewayError, Retry, answer_for
+from hickorybeam.errors import GatewayError, Retry, error_response
 
 __all__ = ("error_event", "raw_refusal", "refusal_body", "refusal_headers")
 
@@ -43,7 +43,7 @@
 
     :param param: the field of the request that is at fault, as the published API has it.
     """
-    answer = answer_for(exc.kind)
+    answer = error_response(exc.kind)
     message = f"{answer.text}: {exc.detail}" if exc.detail else answer.text
     error = _Error(
         message=message,
@@ -68,11 +68,11 @@
 
 def retry_after_ms(exc: GatewayError) -> int | None:
     """Return when a retry makes sense, if it ever does."""
-    if answer_for(exc.kind).retry is Retry.NEVER:
+    if error_response(exc.kind).retry is Retry.NEVER:
         return None
     if exc.retry_after_ms is not None:
         return exc.retry_after_ms
-    return DEFAULT_RETRY_AFTER_MS if answer_for(exc.kind).retry is Retry.LATER else 0
+    return DEFAULT_RETRY_AFTER_MS if error_response(exc.kind).retry is Retry.LATER else 0
 
 
 def refusal_headers(exc: GatewayError) -> list[tuple[bytes, bytes]]:
@@ -81,7 +81,7 @@
     Client libraries of the published API repeat any 5xx by themselves; ``x-should-retry``
     stops them where a retry is useless here or could run the work twice.
     """
-    retry = answer_for(exc.kind).retry
+    retry = error_response(exc.kind).retry
     again = b"true" if retry is Retry.LATER else b"false"
     headers = [(b"content-type", b"application/json"), (b"x-should-retry", again)]
     after = retry_after_ms(exc)
@@ -98,7 +98,7 @@
 def raw_refusal(exc: GatewayError) -> bytes:
     """Return a whole HTTP answer, for connections on which no request could be read."""
     body = refusal_body(exc)
-    status = answer_for(exc.kind).status
+    status = error_response(exc.kind).status
     lines = [b"HTTP/1.1 %d %s" % (status, http.HTTPStatus(status).phrase.encode())]
     lines.extend(b"%s: %s" % header for header in refusal_headers(exc))
     lines.append(b"content-length: %d" % len(body))
--- a/src/hickorybeam/front/relay.py
+++ b/src/hickorybeam/front/relay.py
@@ -10,13 +10,13 @@
 from hickorybeam.errors import ErrorKind, GatewayError
 from hickorybeam.front.refusals import error_event
 from hickorybeam.front.request import CallerGoneError
-from hickorybeam.model import AnswerChunk, AnswerEnd, AnswerHead
+from hickorybeam.model import ResponseChunk, ResponseEnd, ResponseHead
 
 if TYPE_CHECKING:
     from collections.abc import AsyncGenerator, AsyncIterator
 
     from hickorybeam.front.request import Request
-    from hickorybeam.model import AnswerPart
+    from hickorybeam.model import ResponsePart
 
 __all__ = ("relay",)
 
@@ -25,7 +25,7 @@
 NOT_BUFFERED = ((b"cache-control", b"no-store"), (b"x-accel-buffering", b"no"))
 
 
-async def relay(req: Request, parts: AsyncIterator[AnswerPart]) -> None:
+async def relay(req: Request, parts: AsyncIterator[ResponsePart]) -> None:
     """Send an answer; the answer is closed, and so cancelled, when the caller leaves.
 
     :raises GatewayError: the answer was refused before its head.
@@ -34,7 +34,7 @@
     with anyio.CancelScope() as scope:
         req.conn.on_lost(scope.cancel)
         try:
-            async with aclosing(cast("AsyncGenerator[AnswerPart, None]", parts)):
+            async with aclosing(cast("AsyncGenerator[ResponsePart, None]", parts)):
                 await send_parts(req, parts)
             return
         finally:
@@ -42,19 +42,19 @@
     raise CallerGoneError
 
 
-async def send_parts(req: Request, parts: AsyncIterator[AnswerPart]) -> None:
+async def send_parts(req: Request, parts: AsyncIterator[ResponsePart]) -> None:
     """Send head, chunks and end; a broken answer never looks like a whole one."""
     streamed = False
     ended = False
     try:
         async for part in parts:
             match part:
-                case AnswerChunk():
+                case ResponseChunk():
                     await req.write(part.data)
-                case AnswerHead():
+                case ResponseHead():
                     streamed = is_stream(part)
                     await req.start(part.status, head_headers(part, streamed=streamed))
-                case AnswerEnd():
+                case ResponseEnd():
                     ended = True
                     await req.write(b"", more=False)
         if not ended:
@@ -77,14 +77,14 @@
     req.conn.end()
 
 
-def is_stream(head: AnswerHead) -> bool:
+def is_stream(head: ResponseHead) -> bool:
     """Whether an answer is a stream of server-sent events."""
     return any(
         name == "content-type" and value.startswith(EVENT_STREAM) for name, value in head.headers
     )
 
 
-def head_headers(head: AnswerHead, *, streamed: bool) -> list[tuple[bytes, bytes]]:
+def head_headers(head: ResponseHead, *, streamed: bool) -> list[tuple[bytes, bytes]]:
     """Return the headers of an answer's head."""
     headers = [(name.encode("latin-1"), value.encode("latin-1")) for name, value in head.headers]
     if streamed:
--- a/src/hickorybeam/front/request.py
+++ b/src/hickorybeam/front/request.py
@@ -7,9 +7,9 @@
 import anyio
 import msgspec
 
-from hickorybeam.errors import ErrorKind, GatewayError, answer_for
+from hickorybeam.errors import ErrorKind, GatewayError, error_response
 from hickorybeam.front.refusals import refusal_body, refusal_headers
-from hickorybeam.httpserve import CONNECTION
+from hickorybeam.httpserve import CONNECTION_KEY
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable, MutableMapping
@@ -43,7 +43,7 @@
         self.raw_path: bytes = scope["raw_path"]
         self.query: bytes = scope["query_string"]
         self.raw_headers: list[tuple[bytes, bytes]] = scope["headers"]
-        self.conn: CallerProtocol = scope["extensions"][CONNECTION]
+        self.conn: CallerProtocol = scope["extensions"][CONNECTION_KEY]
         self.address: str = scope["client"][0] if scope["client"] else ""
         self.answered = False
         self.held_bytes = 0
@@ -132,4 +132,4 @@
         if self.allow:
             headers.append((b"allow", self.allow.encode()))
         body = refusal_body(exc, param=self.param)
-        await self.whole(answer_for(exc.kind).status, body, *headers)
+        await self.whole(error_response(exc.kind).status, body, *headers)
--- a/src/hickorybeam/front/service.py
+++ b/src/hickorybeam/front/service.py
@@ -14,7 +14,7 @@
 from hickorybeam.front.memory import MemoryGate
 from hickorybeam.front.protocol import CallerProtocol, Guard
 from hickorybeam.front.request import Request
-from hickorybeam.httpserve import listening
+from hickorybeam.httpserve import serve_app
 from hickorybeam.kernel import Service
 from hickorybeam.ports import (
     CONFIG,
@@ -25,7 +25,7 @@
     ConfigView,
     Dispatch,
     Members,
-    Once,
+    IdempotentCalls,
 )
 from hickorybeam.watchdog import Watchdog
 
@@ -82,7 +82,7 @@
         if kernel.has(MEMBERS):
             members = kernel.find(MEMBERS, Members)  # type: ignore[type-abstract]
         if kernel.has(ONCE):
-            once = kernel.find(ONCE, Once)  # type: ignore[type-abstract]
+            once = kernel.find(ONCE, IdempotentCalls)  # type: ignore[type-abstract]
         self._gate = Gate(
             cfg=self._cfg,
             clock=self._clock,
@@ -101,7 +101,7 @@
         async with anyio.create_task_group() as tg:
             tg.start_soon(self._watchdog.run)
             protocol = functools.partial(CallerProtocol, guard=self._guard)
-            async with listening(
+            async with serve_app(
                 self,
                 host=vm.host,
                 port=self._port or vm.http_port,
@@ -110,14 +110,14 @@
             ) as listener:
                 self._port = listener.port
                 if self._gate.members is not None:
-                    self._gate.members.listening(http_port=listener.port)
+                    self._gate.members.announce_serving(http_port=listener.port)
                 started()
                 await anyio.sleep_forever()
 
     async def drain(self) -> None:
         """Refuse new work and wait for what is in flight."""
         if self._gate.members is not None:
-            self._gate.members.leave()
+            self._gate.members.announce_leaving()
         self._gate.draining = True
         await self._clock.sleep(DRAIN_LINGER_MS)
         # An answer that is written but not yet taken by its caller would be cut off too.
--- a/src/hickorybeam/front/work.py
+++ b/src/hickorybeam/front/work.py
@@ -16,7 +16,7 @@
     from hickorybeam.front.gate import Gate
     from hickorybeam.front.identity import Identity
     from hickorybeam.front.request import Request
-    from hickorybeam.model import AnswerPart, ClientAccount, Header, ServiceRoute
+    from hickorybeam.model import ResponsePart, ClientAccount, Header, ServiceRoute
 
 __all__ = ("chat", "completion", "plain_service", "routed")
 
@@ -154,7 +154,7 @@
         raise gate.named(exc, identity.allowed) from exc
 
 
-def start(gate: Gate, call: Call) -> AsyncIterator[AnswerPart]:
+def start(gate: Gate, call: Call) -> AsyncIterator[ResponsePart]:
     """Hand a call to the service that runs it."""
     if not call.idempotency_key:
         return gate.dispatch.run(call)
--- a/src/hickorybeam/gateway/asking.py
+++ b/src/hickorybeam/gateway/asking.py
@@ -8,7 +8,7 @@
 
 from hickorybeam.clock import MS_PER_SECOND
 from hickorybeam.errors import ErrorKind, GatewayError
-from hickorybeam.http1 import BrokenAnswerError, ConnectFailedError, UpstreamPool
+from hickorybeam.http1 import BrokenResponseError, ConnectFailedError, UpstreamPool
 from hickorybeam.http1.head import request_bytes
 
 if TYPE_CHECKING:
@@ -36,14 +36,14 @@
         """
         try:
             with anyio.fail_after(ANSWER_LIMIT_MS / MS_PER_SECOND):
-                conn = await self._pool.take(address, fresh=True)
+                conn = await self._pool.acquire(address, fresh=True)
                 try:
                     conn.send(request_bytes("GET", path.encode(), ((b"host", b"vm"),), b""))
-                    head = await conn.head()
-                    body = await conn.body()
+                    head = await conn.read_head()
+                    body = await conn.read_body()
                 finally:
                     conn.abort()
-        except (ConnectFailedError, BrokenAnswerError, TimeoutError) as exc:
+        except (ConnectFailedError, BrokenResponseError, TimeoutError) as exc:
             raise GatewayError(ErrorKind.PEER_UNREACHABLE, repr(exc)) from exc
         if head.status != OK:
             raise GatewayError(ErrorKind.PEER_UNREACHABLE, f"status {head.status}")
--- a/src/hickorybeam/gateway/attempt.py
+++ b/src/hickorybeam/gateway/attempt.py
@@ -8,18 +8,18 @@
 import anyio
 
 from hickorybeam.clock import MS_PER_SECOND
-from hickorybeam.http1 import BrokenAnswerError, ConnectFailedError, find
+from hickorybeam.http1 import BrokenResponseError, ConnectFailedError, find_header
 from hickorybeam.http1.head import request_bytes
-from hickorybeam.platform import REQUEST_ID, decode_answer, server_headers
+from hickorybeam.platform import REQUEST_ID, decode_response, server_headers
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
     from hickorybeam.gateway.peers import Peer
     from hickorybeam.gateway.place_asking import Grant
-    from hickorybeam.http1 import AnswerHead, RawHeaders, UpstreamConnection, UpstreamPool
+    from hickorybeam.http1 import ResponseHead, RawHeaders, UpstreamConnection, UpstreamPool
     from hickorybeam.model.routing import RelayCall, Route
-    from hickorybeam.platform import AnswerFacts
+    from hickorybeam.platform import ResponseInfo
     from hickorybeam.policy.server_choice import ServerStanding
 
 __all__ = (
@@ -79,7 +79,7 @@
         self.come_back_ms = come_back_ms
 
 
-class SilentError(BrokenAnswerError):
+class SilentError(BrokenResponseError):
     """No first byte came within the patience; the request may have run."""
 
 
@@ -141,7 +141,7 @@
         *,
         patience_ms: float | None = None,
         leave: Callable[[], bool] = lambda: True,
-    ) -> tuple[AnswerHead, AnswerFacts]:
+    ) -> tuple[ResponseHead, ResponseInfo]:
         """Send the request and return the head of its answer.
 
         :param patience_ms: how long to wait for it; ``None`` for no limit but the deadline.
@@ -149,33 +149,33 @@
             request should go elsewhere. While not, its answer is waited for.
         :raises NotSentError: it was not run.
         :raises SilentError: no byte came within the patience.
-        :raises BrokenAnswerError: it may have run.
+        :raises BrokenResponseError: it may have run.
         """
         limit_s = None if patience_ms is None else patience_ms / MS_PER_SECOND
         with anyio.move_on_after(limit_s):
             conn = await self._sent(self._errand.deadline_ms - now_ms)
-            head = await conn.head()
+            head = await conn.read_head()
             return await self._decoded(head)
         waiting = self._conn
         if waiting is None:
             raise NotSentError("no connection in time", unreachable=True)
         while not leave():
             with anyio.move_on_after(ASK_AGAIN_MS / MS_PER_SECOND):
-                head = await waiting.head()
+                head = await waiting.read_head()
                 return await self._decoded(head)
         raise SilentError("silent")
 
-    async def _decoded(self, head: AnswerHead) -> tuple[AnswerHead, AnswerFacts]:
-        hop = find(head.headers, HOP_NOT_RUN)
+    async def _decoded(self, head: ResponseHead) -> tuple[ResponseHead, ResponseInfo]:
+        hop = find_header(head.headers, HOP_NOT_RUN)
         if hop is not None:
             await self._finish()
-            after = find(head.headers, HOP_COME_BACK) or b""
+            after = find_header(head.headers, HOP_COME_BACK) or b""
             raise NotSentError(
                 "the other region did not run it",
                 rejected=hop != NOT_ASKED,
                 come_back_ms=int(after) if after.isdigit() else None,
             )
-        return head, decode_answer(head)
+        return head, decode_response(head)
 
     async def _sent(self, left_ms: int) -> UpstreamConnection:
         """Send on an idle connection, or on a new one if that has just ended."""
@@ -184,11 +184,11 @@
         expected = (REQUEST_ID, call.request_id.encode("latin-1")) if call.request_id else None
         for fresh in (False, True):
             try:
-                self._conn = await self._pool.take(self._address, fresh=fresh)
+                self._conn = await self._pool.acquire(self._address, fresh=fresh)
                 self._conn.send(data, expected_id=expected)
             except ConnectFailedError as exc:
                 raise NotSentError(str(exc), unreachable=True) from exc
-            except BrokenAnswerError as exc:
+            except BrokenResponseError as exc:
                 # Nothing was sent: the other end closed the connection while it was idle.
                 self.close()
                 why = str(exc)
@@ -215,19 +215,19 @@
     async def chunk(self) -> bytes:
         """Return the next bytes of the answer's body, empty at its proper end."""
         if self._conn is None:
-            raise BrokenAnswerError("not open", sent=False)
-        return await self._conn.chunk()
+            raise BrokenResponseError("not open", sent=False)
+        return await self._conn.read_chunk()
 
     async def body(self) -> bytes:
         """Read the whole body."""
         if self._conn is None:
-            raise BrokenAnswerError("not open", sent=False)
-        return await self._conn.body()
+            raise BrokenResponseError("not open", sent=False)
+        return await self._conn.read_body()
 
     def kept(self) -> None:
         """Give the connection back after the body was read to its proper end."""
         if self._conn is not None:
-            self._pool.give_back(self._address, self._conn)
+            self._pool.release(self._address, self._conn)
             self._conn = None
 
     def close(self) -> None:
@@ -238,12 +238,12 @@
 
     def forget_idle(self) -> None:
         """Give up idle connections to an address that fell silent."""
-        self._pool.forget(self._address)
+        self._pool.close_idle(self._address)
 
     async def _finish(self) -> None:
         try:
             await self.body()
-        except BrokenAnswerError:
+        except BrokenResponseError:
             self.close()
         else:
             self.kept()
--- a/src/hickorybeam/gateway/cold_asking.py
+++ b/src/hickorybeam/gateway/cold_asking.py
@@ -9,12 +9,12 @@
 from hickorybeam.clock import MS_PER_SECOND
 from hickorybeam.gateway.feed import FeedService
 from hickorybeam.gateway.fleet import FleetService
-from hickorybeam.http1 import BrokenAnswerError, ConnectFailedError, UpstreamPool
+from hickorybeam.http1 import BrokenResponseError, ConnectFailedError, UpstreamPool
 from hickorybeam.http1.head import request_bytes
 from hickorybeam.kernel import Service
-from hickorybeam.platform import decode_answer
+from hickorybeam.platform import decode_response
 from hickorybeam.policy.cold_watch import ASK_EVERY_MS, servers_to_ask
-from hickorybeam.ports import COLD_ASKING, FEED, FLEET
+from hickorybeam.ports import COLD_HEALTH_CHECKS, FEED, FLEET
 from hickorybeam.telemetry.decisions import DecisionLog
 
 if TYPE_CHECKING:
@@ -35,7 +35,7 @@
 class ColdAskingService(Service):
     """Asks servers of this region for their health while this VM hears of no changes."""
 
-    name: ClassVar[str] = COLD_ASKING
+    name: ClassVar[str] = COLD_HEALTH_CHECKS
     needs: ClassVar[tuple[str, ...]] = (FEED, FLEET)
 
     def __init__(self, *, cfg: Settings, clock: Clock, counters: Counters) -> None:
@@ -84,9 +84,9 @@
         try:
             with anyio.fail_after(ANSWER_LIMIT_MS / MS_PER_SECOND):
                 cold_ms = await self._cold_ms(address, health_path)
-        except (ConnectFailedError, BrokenAnswerError, TimeoutError) as exc:
-            self._log.note("no_health", server=server.id, why=repr(exc))
-            self._pool.forget(address)
+        except (ConnectFailedError, BrokenResponseError, TimeoutError) as exc:
+            self._log.write("no_health", server=server.id, why=repr(exc))
+            self._pool.close_idle(address)
             return
         if cold_ms:
             self._feed.knowledge.cold(server.id, cold_ms, self._clock.now())
@@ -95,13 +95,13 @@
     async def _cold_ms(self, address: Address, health_path: str) -> int | None:
         """Return for how long a server stays cold by its own word."""
         self._asked.inc()
-        conn = await self._pool.take(address)
+        conn = await self._pool.acquire(address)
         try:
             conn.send(request_bytes("GET", health_path.encode(), HOST_HEADER, b""))
-            facts = decode_answer(await conn.head())
-            await conn.body()
+            facts = decode_response(await conn.read_head())
+            await conn.read_body()
         except BaseException:
             conn.abort()
             raise
-        self._pool.give_back(address, conn)
+        self._pool.release(address, conn)
         return facts.cold_ms
--- a/src/hickorybeam/gateway/endings.py
+++ b/src/hickorybeam/gateway/endings.py
@@ -4,10 +4,10 @@
 
 from typing import TYPE_CHECKING
 
-from hickorybeam.errors import ErrorKind, GatewayError, Ran, answer_for
+from hickorybeam.errors import ErrorKind, GatewayError, Ran, error_response
 from hickorybeam.gateway.attempt import HOP_COME_BACK, HOP_NOT_RUN, NOT_ASKED, REJECTED
 from hickorybeam.gateway.progress import name_of
-from hickorybeam.platform import answer_headers, refusal_headers
+from hickorybeam.platform import response_headers, refusal_headers
 from hickorybeam.policy.come_back import bounded_ms, come_back_ms
 
 if TYPE_CHECKING:
@@ -16,7 +16,7 @@
     from hickorybeam.gateway.feed import FeedService
     from hickorybeam.gateway.placing import Placing
     from hickorybeam.gateway.progress import Progress
-    from hickorybeam.http1 import RawHeaders, Reply
+    from hickorybeam.http1 import RawHeaders, ResponseWriter
     from hickorybeam.model.routing import RelayCall
     from hickorybeam.telemetry import Counters
     from hickorybeam.telemetry.decisions import DecisionLog
@@ -70,8 +70,8 @@
         if progress.failed is not None:
             head, facts, body = progress.failed
             # A server's status that would promise that it didn't run can't be passed on.
-            if facts.signed and not facts.promises:
-                reply.whole(facts.status, answer_headers(head.headers), body)
+            if facts.signed and not facts.implies_not_run:
+                reply.send(facts.status, response_headers(head.headers), body)
                 self.count(errand, "failed")
                 return
         if not ran:
@@ -97,16 +97,16 @@
         return ErrorKind.NO_BACKEND, after
 
     def refuse(
-        self, call: RelayCall, reply: Reply, exc: GatewayError, progress: Progress | None = None
+        self, call: RelayCall, reply: ResponseWriter, exc: GatewayError, progress: Progress | None = None
     ) -> None:
         """Send an answer of the gateway's own.
 
         :param progress: what has happened to the request, if it was admitted.
         """
-        answer = answer_for(exc.kind)
+        answer = error_response(exc.kind)
         config = self._feed.knowledge.config
         self._counters.refusals.labels(exc.kind.value).inc()
-        self._log.note(
+        self._log.write(
             "refused",
             request=call.request_id,
             kind=exc.kind.value,
@@ -118,7 +118,7 @@
         headers = refusal_headers(call.request_id, retry_after_ms=exc.retry_after_ms)
         if answer.ran is Ran.NO and progress is not None:
             headers = (*headers, *hop_mark(progress, exc.retry_after_ms))
-        reply.whole(answer.status, headers, close=exc.kind is ErrorKind.DRAINING)
+        reply.send(answer.status, headers, close=exc.kind is ErrorKind.DRAINING)
 
     def answered(self, errand: Errand, target: Target, progress: Progress) -> None:
         """Count a good answer, and log why it was late if it was.
@@ -153,7 +153,7 @@
 
     def note(self, event: str, errand: Errand, target: Target | None, **fields: object) -> None:
         """Log a decision about a request."""
-        self._log.note(
+        self._log.write(
             event,
             request=errand.call.request_id,
             route=errand.route.name,
--- a/src/hickorybeam/gateway/feed.py
+++ b/src/hickorybeam/gateway/feed.py
@@ -21,12 +21,12 @@
 from hickorybeam.gateway.knowledge import Knowledge
 from hickorybeam.kernel import Service
 from hickorybeam.platform import (
-    EVACUATIONS,
-    FEED_PREFIXES,
-    Evacuated,
-    NewConfig,
-    ServerSeen,
-    Unreadable,
+    EVACUATION_PREFIX,
+    WATCHED_PREFIXES,
+    EvacuationEntry,
+    ConfigEntry,
+    ServerEntry,
+    InvalidEntry,
     decode_entry,
 )
 from hickorybeam.ports import FEED, PLATFORM
@@ -319,7 +319,7 @@
         """
         self.revision = max(self.revision, latest)
         for item in batch.puts:
-            if not item.key.startswith((*FEED_PREFIXES, self._cfg.platform.prefix)):
+            if not item.key.startswith((*WATCHED_PREFIXES, self._cfg.platform.prefix)):
                 continue
             known = self._items.get(item.key)
             if known is not None and known.mod_revision >= item.mod_revision:
@@ -336,29 +336,29 @@
         if item.key.startswith(self._cfg.platform.prefix):
             return
         match decode_entry(item.key, item.value):
-            case NewConfig(config):
+            case ConfigEntry(config):
                 if self.knowledge.take_config(config):
                     logging.info("configuration %d is in force", config.version)
                     self._version.set(config.version)
                     self._configured.set()
                     for listener in self._config_listeners:
                         listener()
-            case ServerSeen(server):
+            case ServerEntry(server):
                 self.knowledge.take_server(server, self._clock.now())
-            case Evacuated(data_centre):
+            case EvacuationEntry(data_centre):
                 logging.info("data centre %s is evacuated", data_centre)
                 self.knowledge.evacuated |= {data_centre}
-            case Unreadable(key, why):
+            case InvalidEntry(key, why):
                 logging.warning("entry %s names nothing to use: %s", key, why)
                 self.knowledge.drop_server(key.rpartition("/")[2])
 
     def _delete(self, key: str) -> None:
         if key not in self._items:
             return
-        if key.startswith(EVACUATIONS):
+        if key.startswith(EVACUATION_PREFIX):
             del self._items[key]
-            self.knowledge.evacuated -= {key.removeprefix(EVACUATIONS)}
-            logging.info("data centre %s is taken back", key.removeprefix(EVACUATIONS))
+            self.knowledge.evacuated -= {key.removeprefix(EVACUATION_PREFIX)}
+            logging.info("data centre %s is taken back", key.removeprefix(EVACUATION_PREFIX))
         elif self._clock.now() - self._trouble_ms < TROUBLE_MS and self._is_server(key):
             self._lapsing.setdefault(key, self._clock.now() + LAPSED_FOR_MS)
         else:
@@ -370,7 +370,7 @@
             self.knowledge.drop_server(key.rpartition("/")[2])
 
     def _is_server(self, key: str) -> bool:
-        return key.startswith(FEED_PREFIXES[1])
+        return key.startswith(WATCHED_PREFIXES[1])
 
     async def _expire(self) -> None:
         """Give up the entries that lapsed with the store and did not come back."""
--- a/src/hickorybeam/gateway/fleet.py
+++ b/src/hickorybeam/gateway/fleet.py
@@ -41,7 +41,7 @@
 from hickorybeam.policy.prefix_holders import PrefixHolders
 from hickorybeam.policy.watchers import watchers_of, watches_itself
 from hickorybeam.ports import FEED, FLEET, PLATFORM
-from hickorybeam.sockets import bound_socket
+from hickorybeam.sockets import bind_socket
 from hickorybeam.store import PacedPlatform, WatchBatch
 
 if TYPE_CHECKING:
@@ -192,7 +192,7 @@
     async def main(self, started: Started) -> None:
         """Register and talk until cancelled."""
         loop = asyncio.get_running_loop()
-        self._peer_socket = bound_socket(self._cfg.vm.host, self.me.peer_port)
+        self._peer_socket = bind_socket(self._cfg.vm.host, self.me.peer_port)
         port = self._peer_socket.getsockname()[1]
         self._transport, _ = await loop.create_datagram_endpoint(
             lambda: Datagrams(self.receive), local_addr=(self._cfg.vm.host, port)
@@ -213,7 +213,7 @@
         The port is bound together with that of the datagrams, so that both have one number.
         """
         sock, self._peer_socket = self._peer_socket, None
-        return sock or bound_socket(self.me.host, self.me.peer_port)
+        return sock or bind_socket(self.me.host, self.me.peer_port)
 
     def serve(self, *, caller_port: int) -> None:
         """Register from now on: callers and peers can connect."""
--- a/src/hickorybeam/gateway/knowledge.py
+++ b/src/hickorybeam/gateway/knowledge.py
@@ -6,7 +6,7 @@
 
 from absl import logging
 
-from hickorybeam.model.routing import CallerRules, RoutingConfig
+from hickorybeam.model.routing import CallerLimits, RoutingConfig
 from hickorybeam.policy.cold_limit import ColdLimit
 from hickorybeam.policy.route_table import RouteTable
 from hickorybeam.policy.server_choice import ServerStanding
@@ -29,9 +29,9 @@
         self._cold_until: dict[str, int] = {}
         self._cold: dict[str, ColdLimit] = {}
 
-    def callers(self) -> CallerRules:
+    def callers(self) -> CallerLimits:
         """Return the limits on callers that are in force."""
-        return self.config.callers if self.config else CallerRules()
+        return self.config.callers if self.config else CallerLimits()
 
     def take_config(self, config: RoutingConfig) -> bool:
         """Take over a configuration unless it is older than the one in force.
--- a/src/hickorybeam/gateway/path.py
+++ b/src/hickorybeam/gateway/path.py
@@ -30,7 +30,7 @@
     from hickorybeam.gateway.feed import FeedService
     from hickorybeam.gateway.fleet import FleetService
     from hickorybeam.gateway.tell import RegionFigures
-    from hickorybeam.http1 import Incoming, Reply, UpstreamPool
+    from hickorybeam.http1 import IncomingRequest, ResponseWriter, UpstreamPool
     from hickorybeam.settings import GatewaySettings
     from hickorybeam.telemetry import Counters
     from hickorybeam.telemetry.decisions import DecisionLog
@@ -106,7 +106,7 @@
             tg.start_soon(self._asker.run)
             await self._grants.run(tg)
 
-    async def answer(self, req: Incoming, reply: Reply) -> None:
+    async def answer(self, req: IncomingRequest, reply: ResponseWriter) -> None:
         """Answer one request of a caller."""
         call = decode_call(req)
         if self._knowledge.config is None:
@@ -119,7 +119,7 @@
         self._budget(errand.service).earn(self._clock.now(), self._fleet.known())
         await self.serve(errand, reply)
 
-    async def serve(self, errand: Errand, reply: Reply, *, here_only: bool = False) -> None:
+    async def serve(self, errand: Errand, reply: ResponseWriter, *, here_only: bool = False) -> None:
         """Run an admitted request within its deadline, until its caller leaves.
 
         :param here_only: it came from another VM: one run, by a server of this region.
@@ -127,13 +127,13 @@
         progress = Progress(reply, here_only=here_only)
         left_ms = errand.deadline_ms - self._clock.now()
         with anyio.CancelScope() as scope:
-            reply.on_gone(scope.cancel)
+            reply.on_disconnect(scope.cancel)
             with anyio.move_on_after(max(0, left_ms) / MS_PER_SECOND) as limit:
                 await self._attempts(errand, progress)
             if limit.cancelled_caught and not reply.done:
                 progress.why = "deadline"
                 self._endings.give_up(errand, progress)
-        reply.on_gone(None)
+        reply.on_disconnect(None)
         if not progress.ran and errand.account is not None and not here_only:
             self._fleet.quota.refund(errand.account, errand.cost, self._clock.now())
         if scope.cancelled_caught:
--- a/src/hickorybeam/gateway/progress.py
+++ b/src/hickorybeam/gateway/progress.py
@@ -10,8 +10,8 @@
 
 if TYPE_CHECKING:
     from hickorybeam.gateway.attempt import Target
-    from hickorybeam.http1 import AnswerHead, Reply
-    from hickorybeam.platform import AnswerFacts
+    from hickorybeam.http1 import ResponseHead, ResponseWriter
+    from hickorybeam.platform import ResponseInfo
 
 __all__ = ("Pace", "Progress", "name_of")
 
@@ -47,14 +47,14 @@
     ``waited_ms`` is the time in line, ``foreseen_ms`` the wait that the last target promised.
     """
 
-    reply: Reply
+    reply: ResponseWriter
     sends: int = 0
     runs: int = 0
     flying: bool = False
     rejected: bool = False
     tried: set[str] = field(default_factory=set)
     refused: set[str] = field(default_factory=set)
-    failed: tuple[AnswerHead, AnswerFacts, bytes] | None = None
+    failed: tuple[ResponseHead, ResponseInfo, bytes] | None = None
     cutter: EventCutter = field(default_factory=EventCutter)
     room_in_ms: int | None = None
     why: str = ""
--- a/src/hickorybeam/gateway/relay.py
+++ b/src/hickorybeam/gateway/relay.py
@@ -19,13 +19,13 @@
 from hickorybeam.gateway.feed import CHANGES_PATH, STATE_PATH, FeedService
 from hickorybeam.gateway.fleet import FleetService
 from hickorybeam.gateway.path import RequestPath, shutdown_of
-from hickorybeam.http1 import HttpServer, UpstreamPool, find
+from hickorybeam.http1 import HttpServer, UpstreamPool, find_header
 from hickorybeam.kernel import Service
 from hickorybeam.model.routing import Repeat, Route
-from hickorybeam.platform import decode_call, decode_query, directory_answer
+from hickorybeam.platform import decode_call, decode_query, directory_response
 from hickorybeam.policy.directory import RegionVms, vms_to_name
 from hickorybeam.ports import FEED, FLEET, RELAY
-from hickorybeam.sockets import bound_socket, split_address
+from hickorybeam.sockets import bind_socket, split_address
 from hickorybeam.telemetry.decisions import DecisionLog
 
 if TYPE_CHECKING:
@@ -33,7 +33,7 @@
     from collections.abc import Sequence
 
     from hickorybeam.clock import Clock
-    from hickorybeam.http1 import Incoming, Reply
+    from hickorybeam.http1 import IncomingRequest, ResponseWriter
     from hickorybeam.http1.server import Handler
     from hickorybeam.kernel import Kernel, Started
     from hickorybeam.model.routing import GatewayVm
@@ -188,46 +188,46 @@
     def _malformed(self, status: int) -> None:
         self._counters.refusals.labels(f"malformed_{status}").inc()
 
-    async def _hop(self, req: Incoming, reply: Reply) -> None:
+    async def _hop(self, req: IncomingRequest, reply: ResponseWriter) -> None:
         """Run a request that a VM of another region hands over, by a server of this one."""
         if req.target == METRICS_PATH:
-            reply.whole(200, PLAIN, self._counters.text())
+            reply.send(200, PLAIN, self._counters.text())
             return
         if req.target.startswith(CHANGES_PREFIX):
             self._changes(req, reply)
             return
         errand = errand_of(req)
         if errand is None:
-            reply.whole(404)
+            reply.send(404)
             return
         await self._path.serve(errand, reply, here_only=True)
 
-    def _changes(self, req: Incoming, reply: Reply) -> None:
+    def _changes(self, req: IncomingRequest, reply: ResponseWriter) -> None:
         """Hand a VM that doesn't watch the store the changes that it lacks."""
         after = req.target.removeprefix(CHANGES_PREFIX)
         found = self._feed.changes_after(int(after)) if after.isdigit() else None
         if found is None:
-            reply.whole(404)
+            reply.send(404)
         else:
-            reply.whole(200, MSGPACK, found)
+            reply.send(200, MSGPACK, found)
 
-    async def _ready(self, req: Incoming, reply: Reply) -> None:
+    async def _ready(self, req: IncomingRequest, reply: ResponseWriter) -> None:
         ready = self._feed.knowledge.config is not None and not self._leaving
-        reply.whole(200 if ready else 503)
+        reply.send(200 if ready else 503)
 
-    async def _directory(self, req: Incoming, reply: Reply) -> None:
+    async def _directory(self, req: IncomingRequest, reply: ResponseWriter) -> None:
         """Name VMs that the caller should use."""
         query = decode_query(req.target)
         if query is None:
-            reply.whole(404)
+            reply.send(404)
             return
         vms = self._named(query.host, query.region)
         if not vms:
-            reply.whole(503)
+            reply.send(503)
             return
         addresses = [f"{vm.host}:{vm.caller_port}" for vm in vms[:64]]
-        answer = directory_answer(addresses, ttl_ms=LIST_VALID_MS)
-        reply.whole(200, JSON, answer)
+        answer = directory_response(addresses, ttl_ms=LIST_VALID_MS)
+        reply.send(200, JSON, answer)
 
     def _named(self, host: str, region: str) -> Sequence[GatewayVm]:
         """Return the VMs that a caller of a region should use."""
@@ -255,11 +255,11 @@
             ],
         )
 
-    async def _state(self, req: Incoming, reply: Reply) -> None:
+    async def _state(self, req: IncomingRequest, reply: ResponseWriter) -> None:
         if req.target.decode("latin-1") == STATE_PATH and self._feed.knowledge.config:
-            reply.whole(200, MSGPACK, self._feed.state())
+            reply.send(200, MSGPACK, self._feed.state())
         else:
-            reply.whole(404)
+            reply.send(404)
 
 
 def urgency_told(value: bytes | None) -> int:
@@ -273,24 +273,24 @@
     :param bound_port: goes before the address's own, where it was bound to a free port before.
     """
     host, port = split_address(address)
-    return bound_socket(host, bound_port or port)
+    return bind_socket(host, bound_port or port)
 
 
-def errand_of(req: Incoming) -> Errand | None:
+def errand_of(req: IncomingRequest) -> Errand | None:
     """Read a request that another VM hands over; ``None`` if it is none."""
-    service = find(req.headers, HOP_SERVICE)
-    left = find(req.headers, HOP_LEFT)
+    service = find_header(req.headers, HOP_SERVICE)
+    left = find_header(req.headers, HOP_LEFT)
     if service is None or left is None or not left.isdigit():
         return None
     call = decode_call(req)
-    account, resume = find(req.headers, HOP_ACCOUNT), find(req.headers, HOP_RESUME)
+    account, resume = find_header(req.headers, HOP_ACCOUNT), find_header(req.headers, HOP_RESUME)
     route = Route(name="hop", host="", prefix="/", repeat=Repeat.ONCE, targets=())
     return Errand(
         call=call,
         route=route,
         service=service.decode("latin-1"),
         account=None if account is None else account.decode("latin-1"),
-        urgency=urgency_told(find(req.headers, HOP_URGENCY)),
+        urgency=urgency_told(find_header(req.headers, HOP_URGENCY)),
         deadline_ms=req.arrived_ms + int(left),
         resume_after=None if resume is None else resume.decode("latin-1"),
     )
--- a/src/hickorybeam/gateway/sending.py
+++ b/src/hickorybeam/gateway/sending.py
@@ -7,8 +7,8 @@
 from hickorybeam.clock import MS_PER_SECOND
 from hickorybeam.gateway.attempt import Attempt, NotSentError, SilentError, ToPeer, ToServer
 from hickorybeam.gateway.place_words import Ending
-from hickorybeam.http1 import BrokenAnswerError
-from hickorybeam.platform import answer_headers
+from hickorybeam.http1 import BrokenResponseError
+from hickorybeam.platform import response_headers
 from hickorybeam.policy.first_byte import first_byte_ms
 
 if TYPE_CHECKING:
@@ -21,8 +21,8 @@
     from hickorybeam.gateway.knowledge import Knowledge
     from hickorybeam.gateway.placing import Placing
     from hickorybeam.gateway.progress import Progress
-    from hickorybeam.http1 import AnswerHead, UpstreamPool
-    from hickorybeam.platform import AnswerFacts
+    from hickorybeam.http1 import ResponseHead, UpstreamPool
+    from hickorybeam.platform import ResponseInfo
     from hickorybeam.policy.server_choice import ServerStanding
     from hickorybeam.telemetry import Counters
 
@@ -91,7 +91,7 @@
                 case ToPeer(peer):
                     progress.refused_by(peer.vm.region, exc.come_back_ms)
             self._endings.note("not_sent", errand, target, why=progress.why)
-        except BrokenAnswerError as exc:
+        except BrokenResponseError as exc:
             progress.flying = False
             progress.runs += 1
             progress.why = str(exc)
@@ -108,7 +108,7 @@
             return None
         return self._placing.begin(target.standing, errand, grant=target.grant)
 
-    def _broke(self, exc: BrokenAnswerError, target: Target, attempt: Attempt) -> Ending:
+    def _broke(self, exc: BrokenResponseError, target: Target, attempt: Attempt) -> Ending:
         match exc, target:
             case SilentError(), _:
                 self._unreachable(target, attempt)
@@ -125,7 +125,7 @@
         runs_left = errand.route.max_attempts - progress.runs - 1
         return first_byte_ms(errand.route, runs_left=runs_left, foreseen_ms=progress.foreseen_ms)
 
-    def _take_facts(self, standing: ServerStanding, facts: AnswerFacts) -> None:
+    def _take_facts(self, standing: ServerStanding, facts: ResponseInfo) -> None:
         now = self._clock.now()
         if facts.load is not None:
             standing.told(busy=facts.load.running + facts.load.waiting, now_ms=now)
@@ -135,8 +135,8 @@
     async def _take_answer(
         self,
         attempt: Attempt,
-        head: AnswerHead,
-        facts: AnswerFacts,
+        head: ResponseHead,
+        facts: ResponseInfo,
         errand: Errand,
         progress: Progress,
         standing: ServerStanding | None,
@@ -144,12 +144,12 @@
         if facts.not_run:
             await attempt.body()
             attempt.kept()
-            if standing is not None and facts.other_server:
+            if standing is not None and facts.misdirected:
                 standing.unreachable(self._clock.now())
             raise NotSentError(f"status {facts.status}: not run", rejected=True)
         good = OK <= facts.status < FIRST_ERROR
         if good and not facts.signed:
-            raise BrokenAnswerError("a success that no server signed")
+            raise BrokenResponseError("a success that no server signed")
         if good and facts.streamed:
             await self._relay_stream(attempt, head, errand, progress)
         else:
@@ -164,38 +164,38 @@
 
     def _take_whole(
         self,
-        head: AnswerHead,
-        facts: AnswerFacts,
+        head: ResponseHead,
+        facts: ResponseInfo,
         body: bytes,
         errand: Errand,
         progress: Progress,
     ) -> None:
         progress.runs += 1
-        if facts.status >= SERVER_ERROR or facts.promises or progress.reply.started:
+        if facts.status >= SERVER_ERROR or facts.implies_not_run or progress.reply.started:
             # A failure, or a whole answer where a stream was to go on.
             progress.failed = (head, facts, body)
             progress.why = f"status {facts.status}"
             return
-        progress.reply.whole(facts.status, answer_headers(head.headers), body)
+        progress.reply.send(facts.status, response_headers(head.headers), body)
         progress.pace.came(self._clock.now())
 
     async def _relay_stream(
-        self, attempt: Attempt, head: AnswerHead, errand: Errand, progress: Progress
+        self, attempt: Attempt, head: ResponseHead, errand: Errand, progress: Progress
     ) -> None:
         reply, cutter = progress.reply, progress.cutter
         if not reply.started:
-            reply.begin(head.status, answer_headers(head.headers))
+            reply.start(head.status, response_headers(head.headers))
         try:
             while data := await attempt.chunk():
                 progress.pace.came(self._clock.now())
-                await reply.chunk(cutter.whole(data) if errand.route.resumable else data)
-        except BrokenAnswerError:
+                await reply.send_chunk(cutter.whole(data) if errand.route.resumable else data)
+        except BrokenResponseError:
             errand.resume_after = cutter.last_id or errand.resume_after
             cutter.restart()
             raise
         attempt.kept()
         progress.runs += 1
-        await reply.chunk(cutter.rest())
+        await reply.send_chunk(cutter.rest())
         reply.end()
 
     def _unreachable(self, target: Target, attempt: Attempt) -> None:
--- a/src/hickorybeam/http1/__init__.py
+++ b/src/hickorybeam/http1/__init__.py
@@ -2,21 +2,21 @@
 
 from __future__ import annotations
 
-from hickorybeam.http1.head import AnswerHead, Incoming, RawHeaders, find, framing_fault
+from hickorybeam.http1.head import ResponseHead, IncomingRequest, RawHeaders, find_header, framing_fault
 from hickorybeam.http1.pool import ConnectFailedError, UpstreamPool
-from hickorybeam.http1.server import HttpServer, Reply
-from hickorybeam.http1.upstream import BrokenAnswerError, UpstreamConnection
+from hickorybeam.http1.server import HttpServer, ResponseWriter
+from hickorybeam.http1.upstream import BrokenResponseError, UpstreamConnection
 
 __all__ = (
-    "AnswerHead",
-    "BrokenAnswerError",
+    "ResponseHead",
+    "BrokenResponseError",
     "ConnectFailedError",
     "HttpServer",
-    "Incoming",
+    "IncomingRequest",
     "RawHeaders",
-    "Reply",
+    "ResponseWriter",
     "UpstreamConnection",
     "UpstreamPool",
-    "find",
+    "find_header",
     "framing_fault",
 )
--- a/src/hickorybeam/http1/head.py
+++ b/src/hickorybeam/http1/head.py
@@ -6,11 +6,11 @@
 from http import HTTPStatus
 
 __all__ = (
-    "AnswerHead",
-    "Incoming",
+    "ResponseHead",
+    "IncomingRequest",
     "RawHeaders",
-    "answer_bytes",
-    "find",
+    "response_head_bytes",
+    "find_header",
     "framing_fault",
     "request_bytes",
 )
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Incoming:
+class IncomingRequest:
     """A caller's whole request; ``arrived_ms`` is when its head was complete.
 
     Names of headers are in lower case.
@@ -36,14 +36,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerHead:
+class ResponseHead:
     """Status and headers of an answer; names are in lower case."""
 
     status: int
     headers: RawHeaders
 
 
-def find(headers: RawHeaders, name: bytes) -> bytes | None:
+def find_header(headers: RawHeaders, name: bytes) -> bytes | None:
     """Return the first header of this name, in lower case, if there is one."""
     for key, value in headers:
         if key == name:
@@ -73,7 +73,7 @@
     return b"\r\n".join(lines) + b"\r\n\r\n" + body
 
 
-def answer_bytes(status: int, headers: RawHeaders, *, length: int | None, close: bool) -> bytes:
+def response_head_bytes(status: int, headers: RawHeaders, *, length: int | None, close: bool) -> bytes:
     """Return the head of an answer.
 
     :param length: bytes of its body; ``None`` for a body in chunks.
--- a/src/hickorybeam/http1/pool.py
+++ b/src/hickorybeam/http1/pool.py
@@ -48,7 +48,7 @@
         self._idle: dict[Address, list[UpstreamConnection]] = {}
         self.opened = 0
 
-    async def take(
+    async def acquire(
         self, address: Address, *, fresh: bool = False, connect_ms: int | None = None
     ) -> UpstreamConnection:
         """Return a connection that nobody else uses.
@@ -62,7 +62,7 @@
                 return conn
         return await self._open(address, connect_ms or self._connect_ms)
 
-    def give_back(self, address: Address, conn: UpstreamConnection) -> None:
+    def release(self, address: Address, conn: UpstreamConnection) -> None:
         """Keep a connection whose answer was read to its proper end, or close it."""
         if not conn.reusable or conn.lost:
             conn.abort()
@@ -71,7 +71,7 @@
         self._idle.setdefault(address, []).append(conn)
         conn.on_lost = lambda lost: self._drop(address, lost)
 
-    def forget(self, address: Address) -> None:
+    def close_idle(self, address: Address) -> None:
         """Close every idle connection to a server that fell silent on one, or is gone."""
         for conn in self._idle.pop(address, ()):
             conn.on_lost = None
--- a/src/hickorybeam/http1/reply.py
+++ b/src/hickorybeam/http1/reply.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from hickorybeam.http1.head import answer_bytes
+from hickorybeam.http1.head import response_head_bytes
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -12,31 +12,31 @@
     from hickorybeam.http1.head import RawHeaders
     from hickorybeam.http1.server import CallerConnection
 
-__all__ = ("Reply",)
+__all__ = ("ResponseWriter",)
 
 LAST_CHUNK = b"0\r\n\r\n"
 
 
-class Reply:
+class ResponseWriter:
     """The answer to one request: whole, or a head and chunks.
 
     Nothing is written after the caller has left; ``gone`` tells.
     """
 
-    __slots__ = ("_close", "_conn", "_head_only", "_on_gone", "done", "gone", "started")
+    __slots__ = ("_close", "_conn", "_head_only", "_on_disconnect", "done", "gone", "started")
 
     def __init__(self, conn: CallerConnection, *, close: bool, head_only: bool) -> None:
         self._conn = conn
         self._close = close
         self._head_only = head_only
-        self._on_gone: Callable[[], None] | None = None
+        self._on_disconnect: Callable[[], None] | None = None
         self.started = False
         self.done = False
         self.gone = False
 
-    def on_gone(self, callback: Callable[[], None] | None) -> None:
+    def on_disconnect(self, callback: Callable[[], None] | None) -> None:
         """Call back once when the caller leaves before its answer is complete."""
-        self._on_gone = callback
+        self._on_disconnect = callback
         if self.gone and callback is not None:
             callback()
 
@@ -44,23 +44,23 @@
         """End the connection after this answer."""
         self._close = True
 
-    def whole(
+    def send(
         self, status: int, headers: RawHeaders = (), body: bytes = b"", *, close: bool = False
     ) -> None:
         """Send a complete answer."""
         close = close or self._close or self._conn.server.closing
-        head = answer_bytes(status, headers, length=len(body), close=close)
+        head = response_head_bytes(status, headers, length=len(body), close=close)
         self.started = True
         self._conn.write(head if self._head_only else head + body)
         self._finish(close=close)
 
-    def begin(self, status: int, headers: RawHeaders) -> None:
+    def start(self, status: int, headers: RawHeaders) -> None:
         """Send the head of an answer whose body follows in chunks."""
         self._close = self._close or self._conn.server.closing
-        self._conn.write(answer_bytes(status, headers, length=None, close=self._close))
+        self._conn.write(response_head_bytes(status, headers, length=None, close=self._close))
         self.started = True
 
-    async def chunk(self, data: bytes) -> None:
+    async def send_chunk(self, data: bytes) -> None:
         """Send a part of the body, waiting while the caller is slow to take it."""
         if data and not self._head_only:
             self._conn.write(b"%x\r\n%s\r\n" % (len(data), data))
@@ -77,7 +77,7 @@
         self.done = True
         self._conn.abort()
 
-    def raw(self, data: bytes) -> None:
+    def send_raw(self, data: bytes) -> None:
         """Send bytes as they are; for stand-ins of servers that answer wrongly."""
         self.started = True
         self._conn.write(data)
@@ -87,7 +87,7 @@
         self.done = True
         self._conn.reset()
 
-    def end_of_connection(self) -> None:
+    def end_by_close(self) -> None:
         """End an answer by closing the connection in order."""
         self._finish(close=True)
 
@@ -96,8 +96,8 @@
         if self.done or self.gone:
             return
         self.gone = True
-        if self._on_gone is not None:
-            self._on_gone()
+        if self._on_disconnect is not None:
+            self._on_disconnect()
 
     def _finish(self, *, close: bool) -> None:
         self.done = True
--- a/src/hickorybeam/http1/server.py
+++ b/src/hickorybeam/http1/server.py
@@ -17,10 +17,10 @@
 import httptools
 from absl import logging
 
-from hickorybeam.http1.head import Incoming, answer_bytes, find, framing_fault
-from hickorybeam.http1.reply import Reply
-from hickorybeam.model.routing import CallerRules
-from hickorybeam.sockets import bound_socket
+from hickorybeam.http1.head import IncomingRequest, response_head_bytes, find_header, framing_fault
+from hickorybeam.http1.reply import ResponseWriter
+from hickorybeam.model.routing import CallerLimits
+from hickorybeam.sockets import bind_socket
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
@@ -30,9 +30,9 @@
     from hickorybeam.clock import Clock
 
     # Answers one request.
-    Handler = Callable[[Incoming, "Reply"], Awaitable[None]]
+    Handler = Callable[[IncomingRequest, "ResponseWriter"], Awaitable[None]]
 
-__all__ = ("HttpServer", "Reply")
+__all__ = ("HttpServer", "ResponseWriter")
 
 BACKLOG = 2_048
 # How often idle and slow connections are looked over, in ms; a limit is noticed this late.
@@ -48,11 +48,11 @@
 
     def __init__(self, server: HttpServer) -> None:
         self.server = server
-        self.reply: Reply | None = None
+        self.reply: ResponseWriter | None = None
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpRequestParser(self)
         self._ahead = b""
-        self._next: deque[tuple[Incoming, bool]] = deque()
+        self._next: deque[tuple[IncomingRequest, bool]] = deque()
         self._writable = anyio.Event()
         self._writable.set()
         self._stalled_since_ms: int | None = None
@@ -130,7 +130,7 @@
         self._arrived_ms = self.server.clock.now()
         if framing_fault(tuple(self._headers)):
             self.refuse(400)
-        elif find(tuple(self._headers), b"expect") == b"100-continue":
+        elif find_header(tuple(self._headers), b"expect") == b"100-continue":
             self.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, data: bytes) -> None:
@@ -146,7 +146,7 @@
         if self.closing:
             return
         method = self._parser.get_method().decode("ascii")
-        req = Incoming(
+        req = IncomingRequest(
             method=method,
             target=self._target,
             headers=tuple(self._headers),
@@ -162,8 +162,8 @@
             return
         self._start(req, close=close)
 
-    def _start(self, req: Incoming, *, close: bool) -> None:
-        self.reply = Reply(self, close=close, head_only=req.method == "HEAD")
+    def _start(self, req: IncomingRequest, *, close: bool) -> None:
+        self.reply = ResponseWriter(self, close=close, head_only=req.method == "HEAD")
         self.server.spawn(req, self.reply)
 
     def _count_head(self, size: int) -> None:
@@ -206,7 +206,7 @@
         if self.closing:
             return
         self.server.malformed(status)
-        self.write(answer_bytes(status, (), length=0, close=True))
+        self.write(response_head_bytes(status, (), length=0, close=True))
         if self._transport is not None:
             self._transport.close()
 
@@ -227,7 +227,7 @@
         if self.reply is None and not self._in_request and self._transport is not None:
             self._transport.close()
 
-    def sweep(self, now_ms: int, limits: CallerRules) -> None:
+    def sweep(self, now_ms: int, limits: CallerLimits) -> None:
         """Enforce the limits in time: on idling, on sending a request, on taking an answer."""
         if self._stalled_since_ms is not None and now_ms - self._stalled_since_ms > STALL_MS:
             self.abort()
@@ -253,7 +253,7 @@
         *,
         clock: Clock,
         tasks: TaskGroup,
-        limits: Callable[[], CallerRules] = CallerRules,
+        limits: Callable[[], CallerLimits] = CallerLimits,
         on_malformed: Callable[[int], None] = lambda _: None,
     ) -> None:
         self.clock = clock
@@ -269,7 +269,7 @@
 
     async def listen(self, host: str, port: int) -> None:
         """Start to accept connections; port 0 takes a free one."""
-        await self.listen_on(bound_socket(host, port))
+        await self.listen_on(bind_socket(host, port))
 
     async def listen_on(self, sock: socket.socket) -> None:
         """Start to accept connections on a bound socket."""
@@ -291,11 +291,11 @@
         for conn in tuple(self.conns):
             conn.close_if_idle()
 
-    def spawn(self, req: Incoming, reply: Reply) -> None:
+    def spawn(self, req: IncomingRequest, reply: ResponseWriter) -> None:
         """Start the task of one request."""
         self._tasks.start_soon(self._answer, req, reply)
 
-    async def _answer(self, req: Incoming, reply: Reply) -> None:
+    async def _answer(self, req: IncomingRequest, reply: ResponseWriter) -> None:
         self.in_flight += 1
         try:
             await self._handler(req, reply)
--- a/src/hickorybeam/http1/upstream.py
+++ b/src/hickorybeam/http1/upstream.py
@@ -9,12 +9,12 @@
 import anyio
 import httptools
 
-from hickorybeam.http1.head import AnswerHead, find
+from hickorybeam.http1.head import ResponseHead, find_header
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-__all__ = ("BrokenAnswerError", "UpstreamConnection")
+__all__ = ("BrokenResponseError", "UpstreamConnection")
 
 MAX_HEAD_BYTES = 65_536
 FIRST_FINAL_STATUS = 200
@@ -23,7 +23,7 @@
 MAX_BUFFERED_BYTES = 1_048_576
 
 
-class BrokenAnswerError(Exception):
+class BrokenResponseError(Exception):
     """The answer did not come whole.
 
     :param sent: bytes of the request may have been read at the other end.
@@ -56,7 +56,7 @@
         self._clear()
 
     def _clear(self) -> None:
-        self._head: AnswerHead | None = None
+        self._head: ResponseHead | None = None
         self._headers: list[tuple[bytes, bytes]] = []
         self._head_bytes = 0
         self._chunks: deque[bytes] = deque()
@@ -127,16 +127,16 @@
         headers = tuple(self._headers)
         if self._expected_id is not None:
             name, expected = self._expected_id
-            found = find(headers, name)
+            found = find_header(headers, name)
             if found is not None and found != expected:
                 self._skipping = True
                 return
         self._skipping = False
-        self._head = AnswerHead(status, headers)
+        self._head = ResponseHead(status, headers)
         self._keep_alive = self._parser.should_keep_alive()
-        self.keep_alive_s = keep_alive_seconds(find(headers, b"keep-alive"))
-        coding = find(headers, b"transfer-encoding")
-        framed = coding is not None or find(headers, b"content-length") is not None
+        self.keep_alive_s = keep_alive_seconds(find_header(headers, b"keep-alive"))
+        coding = find_header(headers, b"transfer-encoding")
+        framed = coding is not None or find_header(headers, b"content-length") is not None
         self._until_close = not framed and status not in BODILESS
 
     def on_body(self, data: bytes) -> None:
@@ -165,7 +165,7 @@
         :param expected_id: name and value of the header that the answer has to echo.
         """
         if self._lost or self._transport is None or self._transport.is_closing():
-            raise BrokenAnswerError("connection ended before the request", sent=False)
+            raise BrokenResponseError("connection ended before the request", sent=False)
         self._clear()
         self._parser = httptools.HttpResponseParser(self)
         self._busy = True
@@ -173,19 +173,19 @@
         self._expected_id = expected_id
         self._transport.write(data)
 
-    async def head(self) -> AnswerHead:
+    async def read_head(self) -> ResponseHead:
         """Wait for the head of the answer.
 
-        :raises BrokenAnswerError: it did not come.
+        :raises BrokenResponseError: it did not come.
         """
         while self._head is None:
             await self._more()
         return self._head
 
-    async def chunk(self) -> bytes:
+    async def read_chunk(self) -> bytes:
         """Return the bytes of the body that have arrived, empty at its proper end.
 
-        :raises BrokenAnswerError: the body ended early.
+        :raises BrokenResponseError: the body ended early.
         """
         while not self._chunks:
             if self._whole:
@@ -199,25 +199,25 @@
         self._buffered = 0
         return data
 
-    async def body(self, *, most: int = 64_000_000) -> bytes:
+    async def read_body(self, *, most: int = 64_000_000) -> bytes:
         """Read the rest of the body.
 
-        :raises BrokenAnswerError: it ended early or is larger than ``most`` bytes.
+        :raises BrokenResponseError: it ended early or is larger than ``most`` bytes.
         """
         parts, size = [], 0
-        while data := await self.chunk():
+        while data := await self.read_chunk():
             parts.append(data)
             size += len(data)
             if size > most:
                 self.abort()
-                raise BrokenAnswerError("body too large")
+                raise BrokenResponseError("body too large")
         return b"".join(parts)
 
     async def _more(self) -> None:
         if self._broken:
-            raise BrokenAnswerError(self._broken)
+            raise BrokenResponseError(self._broken)
         if self._lost and not self._whole:
-            raise BrokenAnswerError("connection ended")
+            raise BrokenResponseError("connection ended")
         self._wake = anyio.Event()
         await self._wake.wait()
 
--- a/src/hickorybeam/httpserve.py
+++ b/src/hickorybeam/httpserve.py
@@ -9,16 +9,16 @@
 import uvicorn
 from uvicorn.protocols.http.httptools_impl import HttpToolsProtocol
 
-from hickorybeam.sockets import bound_socket
+from hickorybeam.sockets import bind_socket
 
 if TYPE_CHECKING:
     import socket
     from collections.abc import AsyncIterator, Callable, Iterator
 
-__all__ = ("CONNECTION", "HttpProtocol", "Listener", "listening")
+__all__ = ("CONNECTION_KEY", "HttpProtocol", "Listener", "serve_app")
 
 # The key in an ASGI scope's ``extensions`` under which an app finds its connection.
-CONNECTION = "hickorybeam.connection"
+CONNECTION_KEY = "hickorybeam.connection"
 
 BACKLOG = 2_048
 # Above every pooled connection's idle age in ``BackendSettings``: the end that reuses a
@@ -33,7 +33,7 @@
     def on_message_begin(self) -> None:
         """Start a request's scope."""
         super().on_message_begin()
-        self.scope["extensions"] = {CONNECTION: self}  # type: ignore[dict-item]
+        self.scope["extensions"] = {CONNECTION_KEY: self}  # type: ignore[dict-item]
 
     def abort(self) -> None:
         """Drop the connection without a clean end."""
@@ -109,7 +109,7 @@
 
 
 @contextlib.asynccontextmanager
-async def listening(
+async def serve_app(
     app: Any,
     *,
     host: str = "127.0.0.1",
@@ -139,7 +139,7 @@
         timeout_keep_alive=max(1, keep_alive_ms // MS_PER_SECOND),
         timeout_graceful_shutdown=None,
     )
-    sock = bound_socket(host, port)
+    sock = bind_socket(host, port)
     server = _Server(config)
     listener = Listener(server, host, sock.getsockname()[1])
     async with anyio.create_task_group() as tg:
--- a/src/hickorybeam/model/__init__.py
+++ b/src/hickorybeam/model/__init__.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from hickorybeam.model.answers import AnswerChunk, AnswerEnd, AnswerHead, AnswerPart, Usage
+from hickorybeam.model.responses import ResponseChunk, ResponseEnd, ResponseHead, ResponsePart, Usage
 from hickorybeam.model.calls import Call, CallKind, Header
 from hickorybeam.model.config import (
     BackendKind,
@@ -44,10 +44,10 @@
     "key_digest",
     "ref_of",
     # what runs
-    "AnswerChunk",
-    "AnswerEnd",
-    "AnswerHead",
-    "AnswerPart",
+    "ResponseChunk",
+    "ResponseEnd",
+    "ResponseHead",
+    "ResponsePart",
     "Call",
     "CallKind",
     "EntryVm",
--- a/src/hickorybeam/model/answers.py
+++ b/src/hickorybeam/model/responses.py
@@ -7,7 +7,7 @@
 # Needed at run time: msgspec reads the field types when it encodes.
 from hickorybeam.model.calls import Header  # noqa: TC001
 
-__all__ = ("AnswerChunk", "AnswerEnd", "AnswerHead", "AnswerPart", "Usage")
+__all__ = ("ResponseChunk", "ResponseEnd", "ResponseHead", "ResponsePart", "Usage")
 
 
 @dataclass(frozen=True, slots=True)
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerHead:
+class ResponseHead:
     """Status and headers; always the first part."""
 
     status: int
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerChunk:
+class ResponseChunk:
     """Bytes of the body as the backend server sent them; ``tokens`` counts those within."""
 
     data: bytes
@@ -40,7 +40,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerEnd:
+class ResponseEnd:
     """The proper end; an answer without it was cut off and is an error to the caller."""
 
     usage: Usage | None = None
@@ -48,4 +48,4 @@
     region: str = ""
 
 
-AnswerPart = AnswerHead | AnswerChunk | AnswerEnd
+ResponsePart = ResponseHead | ResponseChunk | ResponseEnd
--- a/src/hickorybeam/model/routing.py
+++ b/src/hickorybeam/model/routing.py
@@ -11,7 +11,7 @@
 
 __all__ = (
     "AccountTerms",
-    "CallerRules",
+    "CallerLimits",
     "EngineSpec",
     "GatewayVm",
     "PromptPart",
@@ -119,7 +119,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class CallerRules:
+class CallerLimits:
     """What a caller may send, in bytes, and how long it may take or idle, in ms."""
 
     header_bytes: int = 16_384
@@ -137,7 +137,7 @@
     services: Mapping[str, ServiceSpec] = field(default_factory=dict)
     accounts: Mapping[str, AccountTerms] = field(default_factory=dict)
     keys: Mapping[str, str] = field(default_factory=dict)
-    callers: CallerRules = CallerRules()
+    callers: CallerLimits = CallerLimits()
     with_accounts: bool = False
 
 
--- a/src/hickorybeam/model/state.py
+++ b/src/hickorybeam/model/state.py
@@ -47,7 +47,7 @@
     head_ticket: int = 0
     objects: Mapping[ObjectRef, Versioned[ConfigObject]] = field(default_factory=dict)
 
-    def ticket_of(self, ref: ObjectRef) -> int:
+    def ticket_number(self, ref: ObjectRef) -> int:
         """Return the number that set or deleted an object, 0 if none did."""
         found = self.objects.get(ref)
         return found.ticket if found else 0
--- a/src/hickorybeam/model/ticket.py
+++ b/src/hickorybeam/model/ticket.py
@@ -53,6 +53,6 @@
             *self.backends,
         )
 
-    def touched(self) -> tuple[ObjectRef, ...]:
+    def changed_refs(self) -> tuple[ObjectRef, ...]:
         """Return every object that the ticket sets or deletes."""
         return (*(ref_of(obj) for obj in self.objects()), *self.deleted)
--- a/src/hickorybeam/once/attempt.py
+++ b/src/hickorybeam/once/attempt.py
@@ -9,12 +9,12 @@
 import anyio
 
 from hickorybeam.errors import ErrorKind, GatewayError, Ran
-from hickorybeam.model import AnswerChunk, AnswerEnd, AnswerHead
+from hickorybeam.model import ResponseChunk, ResponseEnd, ResponseHead
 
 if TYPE_CHECKING:
     from collections.abc import AsyncGenerator, AsyncIterator
 
-    from hickorybeam.model import AnswerPart, Call
+    from hickorybeam.model import ResponsePart, Call
     from hickorybeam.ports import Dispatch
 
 __all__ = ("Attempt", "Ending")
@@ -46,9 +46,9 @@
         self.call = call
         self.ending = Ending.UNKNOWN
         self.status = 0
-        self.kept: list[AnswerPart] = []
+        self.kept: list[ResponsePart] = []
         self.size = 0
-        streams = anyio.create_memory_object_stream["AnswerPart | GatewayError"](PARTS_AHEAD)
+        streams = anyio.create_memory_object_stream["ResponsePart | GatewayError"](PARTS_AHEAD)
         self._send, self._receive = streams
         self._left = False
 
@@ -66,7 +66,7 @@
         finally:
             self._send.close()
 
-    async def parts(self) -> AsyncGenerator[AnswerPart, None]:
+    async def parts(self) -> AsyncGenerator[ResponsePart, None]:
         """Yield the parts to the caller; closing this leaves the attempt to itself."""
         try:
             async for part in self._receive:
@@ -78,33 +78,33 @@
             self._receive.close()
 
     async def _run(self, dispatch: Dispatch) -> Ending:
-        running = cast("AsyncGenerator[AnswerPart, None]", dispatch.run(self.call))
+        running = cast("AsyncGenerator[ResponsePart, None]", dispatch.run(self.call))
         async with aclosing(running) as parts:
             return await self._follow(parts)
 
-    async def _follow(self, parts: AsyncIterator[AnswerPart]) -> Ending:
+    async def _follow(self, parts: AsyncIterator[ResponsePart]) -> Ending:
         async for part in parts:
             self._keep(part)
             await self._hand(part)
-            if isinstance(part, AnswerEnd):
+            if isinstance(part, ResponseEnd):
                 return Ending.FINISHED
             if self._left and self.call.idempotent:
                 return Ending.UNKNOWN
         await self._hand(GatewayError(ErrorKind.STREAM_BROKEN))
         return Ending.UNKNOWN
 
-    def _keep(self, part: AnswerPart) -> None:
+    def _keep(self, part: ResponsePart) -> None:
         match part:
-            case AnswerHead(status=status):
+            case ResponseHead(status=status):
                 self.status = status
-            case AnswerChunk(data=data):
+            case ResponseChunk(data=data):
                 self.size += len(data)
         if self.size > LARGEST_KEPT:
             del self.kept[1:]
         else:
             self.kept.append(part)
 
-    async def _hand(self, part: AnswerPart | GatewayError) -> None:
+    async def _hand(self, part: ResponsePart | GatewayError) -> None:
         if self._left:
             return
         try:
--- a/src/hickorybeam/once/service.py
+++ b/src/hickorybeam/once/service.py
@@ -32,7 +32,7 @@
 
     from hickorybeam.clock import Clock
     from hickorybeam.kernel import Kernel, Started
-    from hickorybeam.model import AnswerPart, Call, EntryVm
+    from hickorybeam.model import ResponsePart, Call, EntryVm
     from hickorybeam.settings import Settings
     from hickorybeam.telemetry import Counters
 
@@ -131,7 +131,7 @@
         expires = self._clock.now() + ISSUED_FOR_MS
         return tuple(self._issue().issue(account, expires) for _ in range(count))
 
-    async def run(self, call: Call) -> AsyncIterator[AnswerPart]:
+    async def run(self, call: Call) -> AsyncIterator[ResponsePart]:
         """Run a call that carries an idempotency key, here or at its issuer, at most once."""
         kind = "issued" if is_issued(call.idempotency_key) else "chosen"
         try:
@@ -139,7 +139,7 @@
                 parts = await self._run_chosen(call)
             else:
                 parts = self._run_issued(call, parse_key(call.idempotency_key))
-            async with aclosing(cast("AsyncGenerator[AnswerPart, None]", parts)) as open_parts:
+            async with aclosing(cast("AsyncGenerator[ResponsePart, None]", parts)) as open_parts:
                 async for part in open_parts:
                     yield part
         except GatewayError as exc:
@@ -147,7 +147,7 @@
             raise
         self._outcomes.labels(kind, "answered").inc()
 
-    def _run_issued(self, call: Call, key: IssuedKey) -> AsyncIterator[AnswerPart]:
+    def _run_issued(self, call: Call, key: IssuedKey) -> AsyncIterator[ResponsePart]:
         if key.vm != self._me():
             return self._forward(call, key)
         self._issue().check(key, call.account)
@@ -157,7 +157,7 @@
             return _again(decision)
         return self._start(call, _Held(_name(call), "", content))
 
-    async def _run_chosen(self, call: Call) -> AsyncIterator[AnswerPart]:
+    async def _run_chosen(self, call: Call) -> AsyncIterator[ResponsePart]:
         if call.hops or len(call.idempotency_key) > LONGEST_CHOSEN:
             raise GatewayError(ErrorKind.IDEMPOTENCY_INVALID)
         content = fingerprint(call)
@@ -191,7 +191,7 @@
                 return decision
         return None
 
-    def _start(self, call: Call, held: _Held) -> AsyncIterator[AnswerPart]:
+    def _start(self, call: Call, held: _Held) -> AsyncIterator[ResponsePart]:
         attempt = Attempt(call)
         self._running += 1
         self._jobs.post((attempt, held))
@@ -239,14 +239,14 @@
         except GatewayError as exc:
             logging.warning("the outcome of a claim was not written: %s", exc)
 
-    async def _forward(self, call: Call, key: IssuedKey) -> AsyncIterator[AnswerPart]:
+    async def _forward(self, call: Call, key: IssuedKey) -> AsyncIterator[ResponsePart]:
         if call.hops:
             raise GatewayError(ErrorKind.HOP_LIMIT)
         issuer = self._members.find(key.vm) if self._members else None
         if issuer is None or self._peers is None:
             raise GatewayError(ErrorKind.IDEMPOTENCY_LOST)
         self._check_region(call, issuer)
-        forwarded = cast("AsyncGenerator[AnswerPart, None]", self._peers.forward(call, issuer))
+        forwarded = cast("AsyncGenerator[ResponsePart, None]", self._peers.forward(call, issuer))
         async with aclosing(forwarded) as parts:
             async for part in parts:
                 yield part
@@ -294,6 +294,6 @@
     return f"{len(call.account)}:{call.account}{call.idempotency_key}"
 
 
-async def _again(replay: Replay) -> AsyncIterator[AnswerPart]:
+async def _again(replay: Replay) -> AsyncIterator[ResponsePart]:
     for part in replay.parts:
         yield part
--- a/src/hickorybeam/peers/client.py
+++ b/src/hickorybeam/peers/client.py
@@ -19,7 +19,7 @@
 
 from hickorybeam.clock import MS_PER_SECOND
 from hickorybeam.errors import ErrorKind, GatewayError, Ran
-from hickorybeam.model import AnswerEnd
+from hickorybeam.model import ResponseEnd
 from hickorybeam.peers.tls import check_certificate
 from hickorybeam.peers.wire import (
     ASK_METHOD,
@@ -35,7 +35,7 @@
 if TYPE_CHECKING:
     from collections.abc import AsyncGenerator, Iterator
 
-    from hickorybeam.model import AnswerPart, VmId
+    from hickorybeam.model import ResponsePart, VmId
     from hickorybeam.peers.links import Address, Links, PeerChannel
 
 __all__ = ("TRANSPORT_ERRORS", "PeerClient")
@@ -126,7 +126,7 @@
                 raise _unreachable(address, type(exc).__name__, ran) from exc
         return _body(reply)
 
-    async def forward(self, address: Address, request: Forward) -> AsyncGenerator[AnswerPart, None]:
+    async def forward(self, address: Address, request: Forward) -> AsyncGenerator[ResponsePart, None]:
         """Send a call and yield the answer's parts; closing the iterator cancels it there."""
         ended = False
         with self._links.channel(address) as channel, self._failures(address, channel) as progress:
@@ -140,7 +140,7 @@
                 async for parts in stream:
                     progress.answered = True
                     for part in _in_order(parts):
-                        ended = isinstance(part, AnswerEnd)
+                        ended = isinstance(part, ResponseEnd)
                         yield part
                     if parts.error is not None:
                         raise to_error(parts.error)
@@ -183,7 +183,7 @@
     return reply.body
 
 
-def _in_order(parts: Parts) -> Iterator[AnswerPart]:
+def _in_order(parts: Parts) -> Iterator[ResponsePart]:
     if parts.head is not None:
         yield parts.head
     yield from parts.chunks
--- a/src/hickorybeam/peers/heartbeat.py
+++ b/src/hickorybeam/peers/heartbeat.py
@@ -93,6 +93,6 @@
     reached: bool
 
 
-HEARTBEAT = Topic("heartbeat", Heartbeat, Heartbeat, steady=True)
+HEARTBEAT = Topic("heartbeat", Heartbeat, Heartbeat, shared_stream=True)
 PROBE = Topic("probe", Probe, Probed)
 WHO = Topic("who", Who, Here)
--- a/src/hickorybeam/peers/members.py
+++ b/src/hickorybeam/peers/members.py
@@ -172,16 +172,16 @@
         if self._exchange.publish(name, note, urgent=urgent) and urgent:
             self._push.set()
 
-    def heard(self, name: str, listener: Callable[[EntryVm, bytes], None]) -> None:
+    def subscribe(self, name: str, listener: Callable[[EntryVm, bytes], None]) -> None:
         """Call a listener with each peer's note of this name as heartbeats bring it."""
         self._listeners.setdefault(name, []).append(listener)
 
-    def listening(self, *, http_port: int) -> None:
+    def announce_serving(self, *, http_port: int) -> None:
         """Announce that callers are served on this port."""
         state = VmState.SERVING if self.me.state is VmState.JOINING else self.me.state
         self._announce(replace(self.me, http_port=http_port, state=state))
 
-    def leave(self) -> None:
+    def announce_leaving(self) -> None:
         """Announce that this VM is shutting down."""
         if self.me.state is not VmState.LEAVING:
             self._announce(replace(self.me, state=VmState.LEAVING))
--- a/src/hickorybeam/peers/service.py
+++ b/src/hickorybeam/peers/service.py
@@ -12,7 +12,7 @@
 from hickorybeam import ports
 from hickorybeam.errors import ErrorKind, GatewayError, Ran
 from hickorybeam.kernel import Service
-from hickorybeam.model import AnswerChunk, AnswerHead
+from hickorybeam.model import ResponseChunk, ResponseHead
 from hickorybeam.peers.admission import check_addressee, check_call, mark_hop
 from hickorybeam.peers.client import TRANSPORT_ERRORS, PeerClient
 from hickorybeam.peers.codec import pack, unpack
@@ -27,7 +27,7 @@
 
     from hickorybeam.clock import Clock
     from hickorybeam.kernel import Kernel, Started
-    from hickorybeam.model import AnswerPart, Call, EntryVm, VmId
+    from hickorybeam.model import ResponsePart, Call, EntryVm, VmId
     from hickorybeam.peers.conversation import Conversation
     from hickorybeam.settings import Settings
     from hickorybeam.telemetry import Counters
@@ -141,14 +141,14 @@
         timeout_ms = self._cfg.peers.call_timeout_ms if timeout_ms is None else timeout_ms
         with self._counted(topic.name):
             client = self._ready()
-            send = client.ask_steadily if topic.steady else client.ask
+            send = client.ask_steadily if topic.shared_stream else client.ask
             body = await send(self._address(vm), ask, timeout_ms=timeout_ms)
             try:
                 return unpack(topic.reply, body)
             except msgspec.DecodeError as exc:
                 raise GatewayError(ErrorKind.INTERNAL, f"reply to {topic.name}") from exc
 
-    async def forward(self, call: Call, vm: EntryVm) -> AsyncGenerator[AnswerPart, None]:
+    async def forward(self, call: Call, vm: EntryVm) -> AsyncGenerator[ResponsePart, None]:
         """Run a call at another VM, one hop at most, and yield the answer's parts."""
         if call.hops:
             raise GatewayError(ErrorKind.HOP_LIMIT, ran=Ran.NO)
@@ -158,14 +158,14 @@
                 async for part in parts:
                     yield part
 
-    def _runner(self, call: Call) -> ports.Dispatch | ports.Once:
+    def _runner(self, call: Call) -> ports.Dispatch | ports.IdempotentCalls:
         """Return who runs a forwarded call.
 
         One with an idempotency key came to this VM as the key's issuer, which alone knows
         whether the key was used; straight to dispatch, a repeated call would run twice.
         """
         if call.idempotency_key:
-            return self._find(ports.ONCE, ports.Once)  # type: ignore[type-abstract]
+            return self._find(ports.ONCE, ports.IdempotentCalls)  # type: ignore[type-abstract]
         return self._find(ports.DISPATCH, ports.Dispatch)  # type: ignore[type-abstract]
 
     async def on_ask(self, ask: Ask, certificate: dict[str, Any] | None) -> Answered:
@@ -262,11 +262,11 @@
             await close()
 
 
-def _message(part: AnswerPart) -> Parts:
+def _message(part: ResponsePart) -> Parts:
     match part:
-        case AnswerHead():
+        case ResponseHead():
             return Parts(head=part)
-        case AnswerChunk():
+        case ResponseChunk():
             return Parts(chunks=(part,))
         case _:
             return Parts(end=part)
--- a/src/hickorybeam/peers/wire.py
+++ b/src/hickorybeam/peers/wire.py
@@ -7,7 +7,7 @@
 from hickorybeam.errors import ErrorKind, GatewayError, Ran
 
 # Needed at run time: msgspec reads the field types when it encodes.
-from hickorybeam.model import AnswerChunk, AnswerEnd, AnswerHead, Call, VmId  # noqa: TC001
+from hickorybeam.model import ResponseChunk, ResponseEnd, ResponseHead, Call, VmId  # noqa: TC001
 
 __all__ = (
     "Answered",
@@ -82,9 +82,9 @@
 class Parts:
     """Some parts of an answer, in their order; the last message carries ``end`` or ``error``."""
 
-    head: AnswerHead | None = None
-    chunks: tuple[AnswerChunk, ...] = ()
-    end: AnswerEnd | None = None
+    head: ResponseHead | None = None
+    chunks: tuple[ResponseChunk, ...] = ()
+    end: ResponseEnd | None = None
     error: WireError | None = None
 
 
--- a/src/hickorybeam/platform/__init__.py
+++ b/src/hickorybeam/platform/__init__.py
@@ -2,42 +2,42 @@
 
 from __future__ import annotations
 
-from hickorybeam.platform.answers import AnswerFacts, ServerLoad, decode_answer, refusal_headers
-from hickorybeam.platform.answers import for_caller as answer_headers
-from hickorybeam.platform.callers import decode_call, server_headers
-from hickorybeam.platform.directory import DirectoryQuery, decode_query, directory_answer
-from hickorybeam.platform.facts import (
-    Evacuated,
-    Fact,
-    NewConfig,
-    ServerSeen,
-    Unreadable,
+from hickorybeam.platform.responses import ResponseInfo, ServerLoad, decode_response, refusal_headers
+from hickorybeam.platform.responses import for_caller as response_headers
+from hickorybeam.platform.requests import decode_call, server_headers
+from hickorybeam.platform.directory import DirectoryQuery, decode_query, directory_response
+from hickorybeam.platform.entries import (
+    EvacuationEntry,
+    DecodedEntry,
+    ConfigEntry,
+    ServerEntry,
+    InvalidEntry,
     decode_entry,
 )
-from hickorybeam.platform.names import EVACUATIONS, REQUEST_ID
+from hickorybeam.platform.names import EVACUATION_PREFIX, REQUEST_ID
 from hickorybeam.platform.store import PlatformStore
 
-FEED_PREFIXES = ("op/", "servers/")
+WATCHED_PREFIXES = ("op/", "servers/")
 
 __all__ = (
-    "EVACUATIONS",
-    "FEED_PREFIXES",
+    "EVACUATION_PREFIX",
+    "WATCHED_PREFIXES",
     "REQUEST_ID",
-    "AnswerFacts",
+    "ResponseInfo",
     "DirectoryQuery",
-    "Evacuated",
-    "Fact",
-    "NewConfig",
+    "EvacuationEntry",
+    "DecodedEntry",
+    "ConfigEntry",
     "PlatformStore",
     "ServerLoad",
-    "ServerSeen",
-    "Unreadable",
-    "answer_headers",
-    "decode_answer",
+    "ServerEntry",
+    "InvalidEntry",
+    "response_headers",
+    "decode_response",
     "decode_call",
     "decode_entry",
     "decode_query",
-    "directory_answer",
+    "directory_response",
     "refusal_headers",
     "server_headers",
 )
--- a/src/hickorybeam/platform/directory.py
+++ b/src/hickorybeam/platform/directory.py
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-__all__ = ("READINESS", "RESOLUTION", "DirectoryQuery", "decode_query", "directory_answer")
+__all__ = ("READINESS", "RESOLUTION", "DirectoryQuery", "decode_query", "directory_response")
 
 RESOLUTION = "/resolution"
 READINESS = "/readiness"
@@ -39,6 +39,6 @@
     )
 
 
-def directory_answer(addresses: Sequence[str], *, ttl_ms: int) -> bytes:
+def directory_response(addresses: Sequence[str], *, ttl_ms: int) -> bytes:
     """Return the directory's answer: callers' addresses of VMs and how long they hold."""
     return msgspec.json.encode({"addresses": list(addresses), "ttl-s": ttl_ms / 1000})
--- a/src/hickorybeam/platform/facts.py
+++ b/src/hickorybeam/platform/entries.py
@@ -12,7 +12,7 @@
 from hickorybeam.model.config import key_digest
 from hickorybeam.model.routing import (
     AccountTerms,
-    CallerRules,
+    CallerLimits,
     EngineSpec,
     RegisteredServer,
     Repeat,
@@ -27,7 +27,7 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-__all__ = ("Evacuated", "Fact", "NewConfig", "ServerSeen", "Unreadable", "decode_entry")
+__all__ = ("EvacuationEntry", "DecodedEntry", "ConfigEntry", "ServerEntry", "InvalidEntry", "decode_entry")
 
 REPEATS = {
     "safe": Repeat.IDEMPOTENT,
@@ -38,54 +38,54 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NewConfig:
+class ConfigEntry:
     """A whole routing configuration."""
 
     config: RoutingConfig
 
 
 @dataclass(frozen=True, slots=True)
-class ServerSeen:
+class ServerEntry:
     """A backend server registered itself, or changed what it says."""
 
     server: RegisteredServer
 
 
 @dataclass(frozen=True, slots=True)
-class Evacuated:
+class EvacuationEntry:
     """A data centre's backend servers are to get nothing more."""
 
     data_centre: str
 
 
 @dataclass(frozen=True, slots=True)
-class Unreadable:
+class InvalidEntry:
     """An entry that names nothing to use; ``why`` goes to the log."""
 
     key: str
     why: str
 
 
-Fact = NewConfig | ServerSeen | Evacuated | Unreadable
+DecodedEntry = ConfigEntry | ServerEntry | EvacuationEntry | InvalidEntry
 
 
-def decode_entry(key: str, value: bytes) -> Fact:
+def decode_entry(key: str, value: bytes) -> DecodedEntry:
     """Read one entry of the store.
 
     Other writers may leave entries with fields missing or of other types; these are told as
-    ``Unreadable`` and the others hold.
+    ``InvalidEntry`` and the others hold.
     """
-    if key.startswith(names.EVACUATIONS):
-        return Evacuated(key.removeprefix(names.EVACUATIONS))
+    if key.startswith(names.EVACUATION_PREFIX):
+        return EvacuationEntry(key.removeprefix(names.EVACUATION_PREFIX))
     try:
         raw = msgspec.json.decode(value)
         if key == names.CONFIG_KEY:
-            return NewConfig(decode_config(raw))
-        if key.startswith(names.SERVERS):
-            return ServerSeen(decode_server(key.removeprefix(names.SERVERS), raw))
+            return ConfigEntry(decode_config(raw))
+        if key.startswith(names.SERVER_PREFIX):
+            return ServerEntry(decode_server(key.removeprefix(names.SERVER_PREFIX), raw))
     except (msgspec.DecodeError, KeyError, TypeError, ValueError, AttributeError) as exc:
-        return Unreadable(key, f"{type(exc).__name__}: {exc}")
-    return Unreadable(key, "not a key of ours")
+        return InvalidEntry(key, f"{type(exc).__name__}: {exc}")
+    return InvalidEntry(key, "not a key of ours")
 
 
 def decode_config(raw: Mapping[str, Any]) -> RoutingConfig:
@@ -100,7 +100,7 @@
         keys=MappingProxyType(
             {key_digest(key): it["name"] for it in accounts for key in it["api-keys"]}
         ),
-        callers=CallerRules(
+        callers=CallerLimits(
             header_bytes=int(limits.get("max-header-bytes", 16_384)),
             body_bytes=int(limits.get("max-body-bytes", 4_194_304)),
             header_ms=int(limits.get("header-timeout-ms", 3_000)),
--- a/src/hickorybeam/platform/names.py
+++ b/src/hickorybeam/platform/names.py
@@ -60,5 +60,5 @@
 
 # Keys of the store.
 CONFIG_KEY = "op/config"
-EVACUATIONS = "op/evacuate/"
-SERVERS = "servers/"
+EVACUATION_PREFIX = "op/evacuate/"
+SERVER_PREFIX = "servers/"
--- a/src/hickorybeam/platform/callers.py
+++ b/src/hickorybeam/platform/requests.py
@@ -4,12 +4,12 @@
 
 from typing import TYPE_CHECKING
 
-from hickorybeam.http1 import find
+from hickorybeam.http1 import find_header
 from hickorybeam.model.routing import PromptPart, RelayCall
 from hickorybeam.platform import names
 
 if TYPE_CHECKING:
-    from hickorybeam.http1 import Incoming, RawHeaders
+    from hickorybeam.http1 import IncomingRequest, RawHeaders
 
 __all__ = ("decode_call", "decode_parts", "server_headers")
 
@@ -18,27 +18,27 @@
 MAX_PARTS = 64
 
 
-def decode_call(req: Incoming) -> RelayCall:
+def decode_call(req: IncomingRequest) -> RelayCall:
     """Read a caller's request; what cannot be read counts as not told."""
     headers = req.headers
-    patience = number(find(headers, names.DEADLINE))
-    prompt, output = token_counts(find(headers, names.TOKENS))
+    patience = number(find_header(headers, names.DEADLINE))
+    prompt, output = token_counts(find_header(headers, names.TOKENS))
     return RelayCall(
-        request_id=text(find(headers, names.REQUEST_ID)),
+        request_id=text(find_header(headers, names.REQUEST_ID)),
         method=req.method,
         target=req.target,
-        host=host_of(text(find(headers, b"host"))),
+        host=host_of(text(find_header(headers, b"host"))),
         path=req.target.partition(b"?")[0].decode("latin-1"),
         headers=passed_on(headers),
         body=req.body,
-        key=bearer(find(headers, names.AUTHORIZATION)),
+        key=bearer(find_header(headers, names.AUTHORIZATION)),
         arrived_ms=req.arrived_ms,
         deadline_ms=req.arrived_ms + (DEFAULT_DEADLINE_MS if patience is None else patience),
         prompt_tokens=prompt,
         output_tokens=output,
         tokens_told=prompt + output > 0,
-        parts=decode_parts(find(headers, names.PREFIX)),
-        resume_after=text(find(headers, names.LAST_EVENT)) or None,
+        parts=decode_parts(find_header(headers, names.PREFIX)),
+        resume_after=text(find_header(headers, names.LAST_EVENT)) or None,
     )
 
 
--- a/src/hickorybeam/platform/answers.py
+++ b/src/hickorybeam/platform/responses.py
@@ -5,13 +5,13 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from hickorybeam.http1 import find
+from hickorybeam.http1 import find_header
 from hickorybeam.platform import names
 
 if TYPE_CHECKING:
-    from hickorybeam.http1 import AnswerHead, RawHeaders
+    from hickorybeam.http1 import ResponseHead, RawHeaders
 
-__all__ = ("AnswerFacts", "ServerLoad", "decode_answer", "for_caller", "refusal_headers")
+__all__ = ("ResponseInfo", "ServerLoad", "decode_response", "for_caller", "refusal_headers")
 
 MISDIRECTED = 421
 # Statuses that promise that a request was not run; only the gateway or a server that says so
@@ -29,36 +29,36 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class AnswerFacts:
+class ResponseInfo:
     """What the head of a backend server's answer says.
 
-    ``not_run`` is a promise of the server; ``promises`` is true for statuses that would make
+    ``not_run`` is a promise of the server; ``implies_not_run`` is true for statuses that would make
     one to the caller; ``signed`` answers are the server's own.
     """
 
     status: int
     signed: bool
     not_run: bool
-    other_server: bool
-    promises: bool
+    misdirected: bool
+    implies_not_run: bool
     load: ServerLoad | None
     cold_ms: int | None
     streamed: bool
 
 
-def decode_answer(head: AnswerHead) -> AnswerFacts:
+def decode_response(head: ResponseHead) -> ResponseInfo:
     """Read the head of an answer."""
     headers = head.headers
     misdirected = head.status == MISDIRECTED
-    return AnswerFacts(
+    return ResponseInfo(
         status=head.status,
-        signed=bool(find(headers, names.SIGNATURE)),
-        not_run=misdirected or find(headers, names.NOT_RUN) is not None,
-        other_server=misdirected,
-        promises=head.status in PROMISES,
-        load=decode_load(find(headers, names.LOAD)),
-        cold_ms=decode_cold(find(headers, names.COLD)),
-        streamed=(find(headers, b"content-type") or b"").startswith(b"text/event-stream"),
+        signed=bool(find_header(headers, names.SIGNATURE)),
+        not_run=misdirected or find_header(headers, names.NOT_RUN) is not None,
+        misdirected=misdirected,
+        implies_not_run=head.status in PROMISES,
+        load=decode_load(find_header(headers, names.LOAD)),
+        cold_ms=decode_cold(find_header(headers, names.COLD)),
+        streamed=(find_header(headers, b"content-type") or b"").startswith(b"text/event-stream"),
     )
 
 
--- a/src/hickorybeam/platform/store.py
+++ b/src/hickorybeam/platform/store.py
@@ -13,7 +13,7 @@
 
 from hickorybeam.clock import MS_PER_SECOND
 from hickorybeam.errors import ErrorKind, GatewayError
-from hickorybeam.http1 import BrokenAnswerError, ConnectFailedError, UpstreamPool
+from hickorybeam.http1 import BrokenResponseError, ConnectFailedError, UpstreamPool
 from hickorybeam.http1.head import request_bytes
 from hickorybeam.kernel import Service
 from hickorybeam.ports import PLATFORM
@@ -228,9 +228,9 @@
         except ConnectFailedError as exc:
             self._failed(kind, "out")
             raise GatewayError(ErrorKind.PLATFORM_OUT, str(exc)) from exc
-        except (BrokenAnswerError, TimeoutError) as exc:
+        except (BrokenResponseError, TimeoutError) as exc:
             # One silent connection may stand for all; the next call opens a new one.
-            self._pool.forget(self._address)
+            self._pool.close_idle(self._address)
             self._failed(kind, "unknown")
             lost = ErrorKind.PLATFORM_UNKNOWN if write else ErrorKind.PLATFORM_OUT
             raise GatewayError(lost, f"{kind}: {exc!r}") from exc
@@ -241,16 +241,16 @@
     ) -> tuple[int, bytes]:
         data = b"" if body is None else msgspec.json.encode(body)
         headers = (*(JSON if body is not None else ()), (b"host", b"store"))
-        conn = await self._pool.take(self._address)
+        conn = await self._pool.acquire(self._address)
         try:
             with anyio.fail_after(limit_ms / MS_PER_SECOND):
                 conn.send(request_bytes(method, path.encode("ascii"), headers, data))
-                head = await conn.head()
-                raw = await conn.body()
+                head = await conn.read_head()
+                raw = await conn.read_body()
         except BaseException:
             conn.abort()
             raise
-        self._pool.give_back(self._address, conn)
+        self._pool.release(self._address, conn)
         return head.status, raw
 
     def _checked(self, kind: str, status: int, raw: bytes) -> tuple[int, Mapping[str, Any]]:
--- a/src/hickorybeam/policy/at_most_once.py
+++ b/src/hickorybeam/policy/at_most_once.py
@@ -21,7 +21,7 @@
 from hickorybeam.model import VmId  # noqa: TC001 - msgspec reads the annotation
 
 if TYPE_CHECKING:
-    from hickorybeam.model import AnswerPart, Call
+    from hickorybeam.model import ResponsePart, Call
 
 __all__ = (
     "Claim",
@@ -68,7 +68,7 @@
 class Replay:
     """Answer with what the first attempt got."""
 
-    parts: tuple[AnswerPart, ...]
+    parts: tuple[ResponsePart, ...]
 
 
 @dataclass(frozen=True, slots=True)
@@ -89,7 +89,7 @@
         self.expires_ms = expires_ms
         self.state = ClaimState.RUNNING
         self.status = 0
-        self.parts: tuple[AnswerPart, ...] | None = None
+        self.parts: tuple[ResponsePart, ...] | None = None
 
 
 class KeyTable:
@@ -130,7 +130,7 @@
         return Start()
 
     def finish(
-        self, key: str, status: int, parts: tuple[AnswerPart, ...] | None, size: int
+        self, key: str, status: int, parts: tuple[ResponsePart, ...] | None, size: int
     ) -> None:
         """Note that an attempt ran to its end; ``parts`` is ``None`` if it was too large."""
         record = self._records[key]
--- a/src/hickorybeam/ports.py
+++ b/src/hickorybeam/ports.py
@@ -13,7 +13,7 @@
     from collections.abc import AsyncIterator, Awaitable, Callable
 
     from hickorybeam.model import (
-        AnswerPart,
+        ResponsePart,
         BackendServer,
         Call,
         ChangeTicket,
@@ -27,7 +27,7 @@
 __all__ = (
     "BACKENDS",
     "BUDGET",
-    "COLD_ASKING",
+    "COLD_HEALTH_CHECKS",
     "CONFIG",
     "CONTROL",
     "DISPATCH",
@@ -44,7 +44,7 @@
     "ConfigView",
     "Dispatch",
     "Members",
-    "Once",
+    "IdempotentCalls",
     "Peers",
     "TicketLog",
     "Topic",
@@ -66,21 +66,21 @@
 FEED = "feed"
 FLEET = "fleet"
 RELAY = "relay"
-COLD_ASKING = "cold_asking"
+COLD_HEALTH_CHECKS = "cold_asking"
 
 
 @dataclass(frozen=True, slots=True)
 class Topic(Generic[Q, R]):
     """One kind of request between VMs: its name and the types of request and reply.
 
-    ``steady`` topics have small messages that go often to the same peers; they share a
+    ``shared_stream`` topics have small messages that go often to the same peers; they share a
     long-lived stream, at about half the processor time of a call of its own.
     """
 
     name: str
     request: type[Q]
     reply: type[R]
-    steady: bool = False
+    shared_stream: bool = False
 
 
 @runtime_checkable
@@ -99,7 +99,7 @@
         """Catch up to a log position or raise ``CONFIG_BEHIND``."""
         ...
 
-    async def changed(self, position: int) -> ConfigState:
+    async def wait_past(self, position: int) -> ConfigState:
         """Wait until the state in force is past this position."""
         ...
 
@@ -149,15 +149,15 @@
         """
         ...
 
-    def heard(self, name: str, listener: Callable[[EntryVm, bytes], None]) -> None:
+    def subscribe(self, name: str, listener: Callable[[EntryVm, bytes], None]) -> None:
         """Call a listener with each peer's note of this name as heartbeats bring it."""
         ...
 
-    def listening(self, *, http_port: int) -> None:
+    def announce_serving(self, *, http_port: int) -> None:
         """Announce that callers are served on this port, which ends the joining state."""
         ...
 
-    def leave(self) -> None:
+    def announce_leaving(self) -> None:
         """Announce that this VM is shutting down."""
         ...
 
@@ -185,7 +185,7 @@
 class Dispatch(Protocol):
     """Decides where and when a call runs (service ``dispatch``)."""
 
-    def run(self, call: Call) -> AsyncIterator[AnswerPart]:
+    def run(self, call: Call) -> AsyncIterator[ResponsePart]:
         """Run a call here or in another region and yield the answer's parts.
 
         Raises ``GatewayError`` before the first part when it is refused, and between parts
@@ -198,7 +198,7 @@
 class BackendClient(Protocol):
     """Speaks to backend servers (service ``backends``)."""
 
-    def run(self, call: Call, backend: BackendServer) -> AsyncIterator[AnswerPart]:
+    def run(self, call: Call, backend: BackendServer) -> AsyncIterator[ResponsePart]:
         """Run a call on one backend server; closing the iterator cancels it there.
 
         Raises ``GatewayError``; its ``ran`` is ``NO`` only if no byte of the call can have
@@ -215,7 +215,7 @@
 class Peers(Protocol):
     """Speaks to other entry VMs (service ``peers``)."""
 
-    def forward(self, call: Call, vm: EntryVm) -> AsyncIterator[AnswerPart]:
+    def forward(self, call: Call, vm: EntryVm) -> AsyncIterator[ResponsePart]:
         """Run a call at another VM, one hop at most, and yield the answer's parts."""
         ...
 
@@ -231,13 +231,13 @@
 
 
 @runtime_checkable
-class Once(Protocol):
+class IdempotentCalls(Protocol):
     """Runs calls that carry an idempotency key at most once (service ``once``)."""
 
     def issue(self, account: str, count: int) -> tuple[str, ...]:
         """Issue idempotency keys bound to this VM's incarnation."""
         ...
 
-    def run(self, call: Call) -> AsyncIterator[AnswerPart]:
+    def run(self, call: Call) -> AsyncIterator[ResponsePart]:
         """Run a call that carries an idempotency key, here or at its issuer, at most once."""
         ...
--- a/src/hickorybeam/shares/service.py
+++ b/src/hickorybeam/shares/service.py
@@ -245,7 +245,7 @@
     async def _post_on_ticket(self) -> None:
         """Make a round as soon as a change ticket is in force: it may set a new account."""
         while True:
-            state = await self._config.changed(self._config.current().position)
+            state = await self._config.wait_past(self._config.current().position)
             if any(not self._keeper.knows(name) for name in state.accounts):
                 self._messages.post(_Round())
 
--- a/src/hickorybeam/sockets.py
+++ b/src/hickorybeam/sockets.py
@@ -4,10 +4,10 @@
 
 import socket
 
-__all__ = ("bound_socket", "split_address")
+__all__ = ("bind_socket", "split_address")
 
 
-def bound_socket(host: str, port: int) -> socket.socket:
+def bind_socket(host: str, port: int) -> socket.socket:
     """Return a bound TCP socket; port 0 takes a free one.
 
     :raises OSError: the address is taken or not ours.
--- a/src/hickorybeam/standins/engine.py
+++ b/src/hickorybeam/standins/engine.py
@@ -17,7 +17,7 @@
 import msgspec
 
 from hickorybeam.clock import Clock, SystemClock
-from hickorybeam.httpserve import listening
+from hickorybeam.httpserve import serve_app
 from hickorybeam.standins.batch import Batch, EngineShape, Stream, start_of, token_text
 from hickorybeam.standins.http import Exchange, Fault, FaultKind, Faults, Served, run_process
 
@@ -438,7 +438,7 @@
     app = app or EngineApp(**options)
     async with anyio.create_task_group() as tg:
         tg.start_soon(app.batch.run)
-        async with listening(app, host=host, port=port) as listener:
+        async with serve_app(app, host=host, port=port) as listener:
             yield Served(app, listener)
         tg.cancel_scope.cancel()
 
--- a/src/hickorybeam/standins/http.py
+++ b/src/hickorybeam/standins/http.py
@@ -11,7 +11,7 @@
 import anyio
 import msgspec
 
-from hickorybeam.httpserve import CONNECTION
+from hickorybeam.httpserve import CONNECTION_KEY
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable, MutableMapping
@@ -124,7 +124,7 @@
         self.path: str = scope["path"]
         self.query = dict(parse_qsl(scope["query_string"].decode()))
         self.headers = {name.decode(): value.decode("latin-1") for name, value in scope["headers"]}
-        self._conn = scope["extensions"][CONNECTION]
+        self._conn = scope["extensions"][CONNECTION_KEY]
         self._receive = receive
         self._send = send
 
--- a/src/hickorybeam/standins/keyvalue.py
+++ b/src/hickorybeam/standins/keyvalue.py
@@ -20,7 +20,7 @@
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator, Mapping
 
-    from hickorybeam.http1 import Incoming, Reply
+    from hickorybeam.http1 import IncomingRequest, ResponseWriter
     from hickorybeam.store import WatchBatch
 
 __all__ = ("KeyValueApp", "ServedStore", "serve_store")
@@ -58,13 +58,13 @@
         self.stand_in.store.txn((), (Delete(key),))
         self.stand_in.notify()
 
-    async def answer(self, req: Incoming, reply: Reply) -> None:
+    async def answer(self, req: IncomingRequest, reply: ResponseWriter) -> None:
         """Answer one call, or fail it as the switches say."""
         faults = self.stand_in.faults
         if self.silent or faults.take_dropped_request(write=req.method != "GET"):
             await anyio.sleep_forever()
         if self.turn_away or faults.out:
-            reply.whole(self.turn_away or 503)
+            reply.send(self.turn_away or 503)
             return
         await self.stand_in.clock.sleep(faults.slow_ms)
         self.stand_in.expire()
@@ -79,7 +79,7 @@
             if faults.take_lost_answer():
                 reply.abort()
                 return
-        reply.whole(status, JSON, msgspec.json.encode(body))
+        reply.send(status, JSON, msgspec.json.encode(body))
 
     async def _call(
         self, method: str, path: str, told: Mapping[str, str], raw: bytes
--- a/src/hickorybeam/standins/plain.py
+++ b/src/hickorybeam/standins/plain.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from hickorybeam.clock import Clock, SystemClock
-from hickorybeam.httpserve import listening
+from hickorybeam.httpserve import serve_app
 from hickorybeam.standins.http import Exchange, Fault, FaultKind, Faults, Served, run_process
 
 if TYPE_CHECKING:
@@ -145,7 +145,7 @@
 ) -> AsyncIterator[Served[PlainApp]]:
     """Serve a plain service inside this process until the block ends."""
     app = app or PlainApp(**options)
-    async with listening(app, host=host, port=port) as listener:
+    async with serve_app(app, host=host, port=port) as listener:
         yield Served(app, listener)
 
 
--- a/src/hickorybeam/standins/platform.py
+++ b/src/hickorybeam/standins/platform.py
@@ -18,7 +18,7 @@
 
 from hickorybeam.clock import Clock, SystemClock
 from hickorybeam.errors import ErrorKind, GatewayError
-from hickorybeam.httpserve import listening
+from hickorybeam.httpserve import serve_app
 from hickorybeam.standins.http import CutOffError, Exchange
 from hickorybeam.standins.memory import Faults, MemoryPlatform, PlatformStandIn
 from hickorybeam.store import Compare, Delete, Put, Write, wire
@@ -247,7 +247,7 @@
     """Serve a stand-in on loopback until the context ends."""
     stand_in = PlatformStandIn(clock or SystemClock())
     app = PlatformApp(stand_in)
-    async with listening(app, port=port) as listener, anyio.create_task_group() as tg:
+    async with serve_app(app, port=port) as listener, anyio.create_task_group() as tg:
         tg.start_soon(stand_in.run)
         yield ServedPlatform(listener.port, app)
         tg.cancel_scope.cancel()
--- a/src/hickorybeam/standins/server.py
+++ b/src/hickorybeam/standins/server.py
@@ -14,8 +14,8 @@
 import msgspec
 
 from hickorybeam.clock import Clock, SystemClock
-from hickorybeam.http1 import HttpServer, find
-from hickorybeam.http1.head import answer_bytes
+from hickorybeam.http1 import HttpServer, find_header
+from hickorybeam.http1.head import response_head_bytes
 from hickorybeam.platform import decode_call, names
 from hickorybeam.standins.batch import Batch
 from hickorybeam.standins.prefix_cache import CachedPart
@@ -23,7 +23,7 @@
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
 
-    from hickorybeam.http1 import Incoming, RawHeaders, Reply
+    from hickorybeam.http1 import IncomingRequest, RawHeaders, ResponseWriter
     from hickorybeam.standins.batch import EngineShape, Stream
     from hickorybeam.standins.keyvalue import KeyValueApp
 
@@ -128,38 +128,38 @@
             "sequence": 1,
             "born": born,
         }
-        self.store.put(names.SERVERS + self.id, msgspec.json.encode(entry))
+        self.store.put(names.SERVER_PREFIX + self.id, msgspec.json.encode(entry))
 
     def withdraw(self) -> None:
         """Remove its entry, as a lapsed lease does."""
-        self.store.delete(names.SERVERS + self.id)
+        self.store.delete(names.SERVER_PREFIX + self.id)
 
-    async def answer(self, req: Incoming, reply: Reply) -> None:
+    async def answer(self, req: IncomingRequest, reply: ResponseWriter) -> None:
         """Answer one request, or fail it as the switches say."""
         if req.target == HEALTH_PATH:
             self.health_questions += 1
             cold = ((names.COLD, b"%d" % self.cold_ms),) if self.cold_ms else ()
-            reply.whole(200, ((names.SERVER_ID, self.id.encode()), *cold))
+            reply.send(200, ((names.SERVER_ID, self.id.encode()), *cold))
             return
         rejection = self._rejection(req)
-        request_id = find(req.headers, names.REQUEST_ID) or b""
+        request_id = find_header(req.headers, names.REQUEST_ID) or b""
         arrival = Arrival(request_id.decode(), req.headers, req.body, rejection is None)
         self.arrivals.append(arrival)
         if rejection is not None:
-            reply.whole(*rejection)
+            reply.send(*rejection)
             return
         self.running += 1
         self.most_running = max(self.most_running, self.running)
         try:
             with anyio.CancelScope() as scope:
-                reply.on_gone(scope.cancel)
+                reply.on_disconnect(scope.cancel)
                 await self._run(req, reply, request_id)
             self.cancelled += scope.cancelled_caught
         finally:
             self.running -= 1
 
-    def _rejection(self, req: Incoming) -> tuple[int, RawHeaders] | None:
-        expected = find(req.headers, names.EXPECT_SERVER)
+    def _rejection(self, req: IncomingRequest) -> tuple[int, RawHeaders] | None:
+        expected = find_header(req.headers, names.EXPECT_SERVER)
         if self.faults.take("misread") or (expected and expected.decode() != self.id):
             return 421, ((names.SERVER_ID, self.id.encode()),)
         if self.faults.take("full") or self._is_full():
@@ -169,7 +169,7 @@
     def _is_full(self) -> bool:
         return self.batch is not None and self.batch.waiting >= QUEUED_PER_SLOT * self.slots
 
-    async def _run(self, req: Incoming, reply: Reply, request_id: bytes) -> None:
+    async def _run(self, req: IncomingRequest, reply: ResponseWriter, request_id: bytes) -> None:
         if self.faults.take("hung"):
             await anyio.sleep_forever()
         await self.clock.sleep(self.work_ms)
@@ -178,40 +178,40 @@
             return
         headers = self._headers(request_id)
         if self.faults.take("errors"):
-            reply.whole(500, headers, b"failed")
-        elif find(req.headers, names.TOKENS) is not None:
+            reply.send(500, headers, b"failed")
+        elif find_header(req.headers, names.TOKENS) is not None:
             if self.batch is None:
                 await self._stream(req, reply, headers)
             else:
                 await self._generate(self.batch, req, reply, headers)
         elif self.faults.take("unframed"):
-            reply.raw(b"HTTP/1.1 200 OK\r\n" + lines(headers) + b"\r\nunframed")
-            reply.end_of_connection()
+            reply.send_raw(b"HTTP/1.1 200 OK\r\n" + lines(headers) + b"\r\nunframed")
+            reply.end_by_close()
         elif self.faults.take("torn"):
-            reply.raw(b"HTTP/1.1 200 OK\r\n" + lines(headers) + b"\r\ntorn")
+            reply.send_raw(b"HTTP/1.1 200 OK\r\n" + lines(headers) + b"\r\ntorn")
             await self.clock.sleep(self.work_ms)
             reply.reset()
         else:
             if self.faults.take("extra"):
                 other = self._headers(b"of-another-request")
-                reply.raw(answer_bytes(200, other, length=5, close=False) + b"other")
-            reply.whole(200, headers, b"done by " + self.id.encode())
+                reply.send_raw(response_head_bytes(200, other, length=5, close=False) + b"other")
+            reply.send(200, headers, b"done by " + self.id.encode())
 
-    async def _stream(self, req: Incoming, reply: Reply, headers: RawHeaders) -> None:
-        first = int(find(req.headers, names.LAST_EVENT) or 0) + 1
-        reply.begin(200, (*headers, EVENT_STREAM))
+    async def _stream(self, req: IncomingRequest, reply: ResponseWriter, headers: RawHeaders) -> None:
+        first = int(find_header(req.headers, names.LAST_EVENT) or 0) + 1
+        reply.start(200, (*headers, EVENT_STREAM))
         for number in range(first, self.events + 1):
             await self.clock.sleep(EVENT_EVERY_MS)
             if number == self.events // 2 + 1 and self.faults.take("cut"):
-                await reply.chunk(b"id: %d\nda" % number)
+                await reply.send_chunk(b"id: %d\nda" % number)
                 await self.clock.sleep(EVENT_EVERY_MS)
                 reply.abort()
                 return
-            await reply.chunk(event(number))
+            await reply.send_chunk(event(number))
         reply.end()
 
     async def _generate(
-        self, batch: Batch, req: Incoming, reply: Reply, headers: RawHeaders
+        self, batch: Batch, req: IncomingRequest, reply: ResponseWriter, headers: RawHeaders
     ) -> None:
         """Stream a token an event; an engine whose caller leaves stops."""
         stream = submitted(batch, req)
@@ -221,9 +221,9 @@
                 while stream.produced == sent:
                     await stream.changed.wait()
                 if not reply.started:
-                    reply.begin(200, (*headers, EVENT_STREAM))
+                    reply.start(200, (*headers, EVENT_STREAM))
                 for number in range(sent + 1, stream.produced + 1):
-                    await reply.chunk(event(number))
+                    await reply.send_chunk(event(number))
                 sent = stream.produced
             reply.end()
         finally:
@@ -240,10 +240,10 @@
         return tuple(headers)
 
 
-def submitted(batch: Batch, req: Incoming) -> Stream:
+def submitted(batch: Batch, req: IncomingRequest) -> Stream:
     """Queue a request as its headers tell it."""
     call = decode_call(req)
-    urgency = find(req.headers, names.URGENCY)
+    urgency = find_header(req.headers, names.URGENCY)
     return batch.submit(
         stream_id=call.request_id,
         model="",
--- a/src/hickorybeam/telemetry/decisions.py
+++ b/src/hickorybeam/telemetry/decisions.py
@@ -29,7 +29,7 @@
         self._budgets: dict[str, tuple[int, int, int]] = {}
 
     @logging.skip_log_prefix
-    def note(self, event: str, **fields: object) -> None:
+    def write(self, event: str, **fields: object) -> None:
         """Write a line, or count it where there are too many of its kind."""
         second = self._clock.now() // MS_PER_SECOND
         since, written, dropped = self._budgets.get(event, (second, 0, 0))
--- a/src/hickorybeam/telemetry/logs.py
+++ b/src/hickorybeam/telemetry/logs.py
@@ -16,7 +16,7 @@
 
     from hickorybeam.settings import LogSettings
 
-__all__ = ("logged", "lost_lines")
+__all__ = ("process_logging", "lost_lines")
 
 STANDARD_ERROR = 2
 # How long the end of the process waits for a reader of its last lines, in s.
@@ -29,7 +29,7 @@
 
 
 @contextmanager
-def logged(cfg: LogSettings, *, descriptor: int = STANDARD_ERROR) -> Iterator[None]:
+def process_logging(cfg: LogSettings, *, descriptor: int = STANDARD_ERROR) -> Iterator[None]:
     """Write this process's log lines, and its last ones before the end."""
     # absl warns on each line until its flags are parsed; our settings take their place.
     flags.FLAGS.mark_as_parsed()
--- a/src/hickorybeam/tickets/apply.py
+++ b/src/hickorybeam/tickets/apply.py
@@ -142,8 +142,8 @@
         return BelowFloor(state.floor)
     later = tuple(
         (ref, number)
-        for ref in ticket.touched()
-        if (number := state.config.ticket_of(ref)) > ticket.number
+        for ref in ticket.changed_refs()
+        if (number := state.config.ticket_number(ref)) > ticket.number
     )
     if later:
         return Stale(later)
@@ -169,7 +169,7 @@
     values: dict[ObjectRef, ConfigObject | None] = dict.fromkeys(ticket.deleted)
     values |= {ref_of(obj): obj for obj in ticket.objects()}
     for ref, value in values.items():
-        if ticket.number > state.config.ticket_of(ref):
+        if ticket.number > state.config.ticket_number(ref):
             objects[ref] = Versioned(ticket.number, value)
     config = ConfigState(position=position, head_ticket=ticket.number, objects=objects)
     used = {**state.used, ticket.number: UsedNumber(position, content_digest(ticket))}
--- a/src/hickorybeam/tickets/checks.py
+++ b/src/hickorybeam/tickets/checks.py
@@ -66,9 +66,9 @@
         yield f"number: expected 1 to {MAX_NUMBER}, found {ticket.number}"
     if len(ticket.note) > MAX_NOTE:
         yield f"note: at most {MAX_NOTE} characters, found {len(ticket.note)}"
-    if not ticket.touched():
+    if not ticket.changed_refs():
         yield "the ticket touches no object"
-    for ref, count in Counter(ticket.touched()).items():
+    for ref, count in Counter(ticket.changed_refs()).items():
         if count > 1:
             yield f"{_show(ref)}: stands {count} times in the ticket"
     for ref in ticket.deleted:
--- a/src/hickorybeam/tickets/service.py
+++ b/src/hickorybeam/tickets/service.py
@@ -142,7 +142,7 @@
             raise GatewayError(ErrorKind.CONFIG_BEHIND, f"at {self._state.position}")
         return self._state.config
 
-    async def changed(self, position: int) -> ConfigState:
+    async def wait_past(self, position: int) -> ConfigState:
         """Wait until the state in force is past this position."""
         while self._state.position <= position:
             await self._changed.wait()
@@ -187,7 +187,7 @@
         self._platform = kernel.find(ports.PLATFORM, Platform)  # type: ignore[type-abstract]
         if kernel.has(ports.MEMBERS):
             self._members = kernel.find(ports.MEMBERS, ports.Members)  # type: ignore[type-abstract]
-            self._members.heard(NOTE, self._on_note)
+            self._members.subscribe(NOTE, self._on_note)
         if kernel.has(ports.PEERS):
             self._peers = kernel.find(ports.PEERS, ports.Peers)  # type: ignore[type-abstract]
             self._peers.serve(FETCH, self._on_fetch)
--- a/tests/platform/facts.feature
+++ b/tests/platform/facts.feature
@@ -48,9 +48,9 @@
       | status | headers                              | field       | found |
       | 503    | X-Hickorybeam-Not-Executed: 1        | not_run     | True  |
       | 503    |                                      | not_run     | False |
-      | 503    |                                      | promises    | True  |
+      | 503    |                                      | implies_not_run | True  |
       | 421    |                                      | not_run     | True  |
-      | 421    |                                      | other_server | True |
+      | 421    |                                      | misdirected | True |
       | 200    | X-Hickorybeam-Response-Signature: s  | signed      | True  |
       | 200    |                                      | signed      | False |
       | 200    | X-Hickorybeam-Cold-Milliseconds: 900 | cold_ms     | 900   |
--- a/tests/steps/backends/rig.py
+++ b/tests/steps/backends/rig.py
@@ -13,9 +13,9 @@
 from hickorybeam.errors import GatewayError
 from hickorybeam.kernel import Kernel, Service
 from hickorybeam.model import (
-    AnswerChunk,
-    AnswerEnd,
-    AnswerHead,
+    ResponseChunk,
+    ResponseEnd,
+    ResponseHead,
     BackendKind,
     BackendServer,
     Call,
@@ -64,7 +64,7 @@
     async def wait_for(self, position, *, timeout_ms):
         return self.state
 
-    async def changed(self, position):
+    async def wait_past(self, position):
         if self.crash:
             self.crash = False
             raise RuntimeError("crash wanted by the test")
@@ -89,19 +89,19 @@
 
     @property
     def body(self):
-        return b"".join(part.data for part in self.parts if isinstance(part, AnswerChunk))
+        return b"".join(part.data for part in self.parts if isinstance(part, ResponseChunk))
 
     @property
     def tokens(self):
-        return sum(part.tokens for part in self.parts if isinstance(part, AnswerChunk))
+        return sum(part.tokens for part in self.parts if isinstance(part, ResponseChunk))
 
     @property
     def head(self):
-        return next((part for part in self.parts if isinstance(part, AnswerHead)), None)
+        return next((part for part in self.parts if isinstance(part, ResponseHead)), None)
 
     @property
     def end(self):
-        return self.parts[-1] if self.parts and isinstance(self.parts[-1], AnswerEnd) else None
+        return self.parts[-1] if self.parts and isinstance(self.parts[-1], ResponseEnd) else None
 
     @property
     def text(self):
--- a/tests/steps/control/control_steps.py
+++ b/tests/steps/control/control_steps.py
@@ -76,7 +76,7 @@
     async def wait_for(self, position, *, timeout_ms):
         return self.current()
 
-    async def changed(self, position):
+    async def wait_past(self, position):
         await anyio.sleep_forever()
 
     async def submit(self, ticket):
--- a/tests/steps/dispatch/fakes.py
+++ b/tests/steps/dispatch/fakes.py
@@ -9,9 +9,9 @@
 from hickorybeam.errors import ErrorKind, GatewayError
 from hickorybeam.kernel import Kernel, Service
 from hickorybeam.model import (
-    AnswerChunk,
-    AnswerEnd,
-    AnswerHead,
+    ResponseChunk,
+    ResponseEnd,
+    ResponseHead,
     BackendKind,
     BackendServer,
     Call,
@@ -100,7 +100,7 @@
     async def wait_for(self, position, *, timeout_ms):
         raise GatewayError(ErrorKind.CONFIG_BEHIND)
 
-    async def changed(self, position):
+    async def wait_past(self, position):
         while self.state.position <= position:
             await self.event.wait()
         return self.state
@@ -141,13 +141,13 @@
     def publish(self, name, note, *, urgent=False):
         pass
 
-    def heard(self, name, listener):
+    def subscribe(self, name, listener):
         pass
 
-    def listening(self, *, http_port):
+    def announce_serving(self, *, http_port):
         pass
 
-    def leave(self):
+    def announce_leaving(self):
         pass
 
 
@@ -203,12 +203,12 @@
                 raise GatewayError(ErrorKind.BACKEND_REFUSED)
             if plan == "fail":
                 raise GatewayError(ErrorKind.BACKEND_FAILED)
-            yield AnswerHead(200)
-            yield AnswerChunk(b"abc", 3)
+            yield ResponseHead(200)
+            yield ResponseChunk(b"abc", 3)
             if plan == "hang":
                 await anyio.sleep_forever()
             if plan != "cut":
-                yield AnswerEnd(Usage(call.prompt_tokens, 5), backend.name, backend.region)
+                yield ResponseEnd(Usage(call.prompt_tokens, 5), backend.name, backend.region)
             done = True
         finally:
             if not done:
@@ -226,8 +226,8 @@
         self.forwarded.append((call, vm))
         if self.fault is not None:
             raise self.fault
-        yield AnswerHead(200)
-        yield AnswerEnd(Usage(call.prompt_tokens, 5), "far", vm.region)
+        yield ResponseHead(200)
+        yield ResponseEnd(Usage(call.prompt_tokens, 5), "far", vm.region)
 
     async def ask(self, vm, topic, request, *, timeout_ms=None):
         raise NotImplementedError
@@ -300,7 +300,7 @@
     def outcome(self):
         if self.fault is not None:
             return self.fault.kind.value
-        if self.parts and isinstance(self.parts[-1], AnswerEnd):
+        if self.parts and isinstance(self.parts[-1], ResponseEnd):
             return "whole"
         return "cut" if self.done else "running"
 
--- a/tests/steps/front/rig.py
+++ b/tests/steps/front/rig.py
@@ -101,13 +101,13 @@
     def publish(self, name, note, *, urgent=False):
         pass
 
-    def heard(self, name, listener):
+    def subscribe(self, name, listener):
         pass
 
-    def listening(self, *, http_port):
+    def announce_serving(self, *, http_port):
         self.http_port = http_port
 
-    def leave(self):
+    def announce_leaving(self):
         self.left = True
 
 
--- a/tests/steps/once/fakes.py
+++ b/tests/steps/once/fakes.py
@@ -12,9 +12,9 @@
 from hickorybeam.errors import ErrorKind, GatewayError, Ran
 from hickorybeam.kernel import Started
 from hickorybeam.model import (
-    AnswerChunk,
-    AnswerEnd,
-    AnswerHead,
+    ResponseChunk,
+    ResponseEnd,
+    ResponseHead,
     Call,
     CallKind,
     ClientAccount,
@@ -51,14 +51,14 @@
                 await self.go.wait()
             if self.plan == "falls silent":
                 raise GatewayError(ErrorKind.BACKEND_SILENT)
-            yield AnswerHead(201)
+            yield ResponseHead(201)
             if self.plan == "breaks":
                 raise GatewayError(ErrorKind.STREAM_BROKEN)
             if self.plan == "ends early":
                 return
             size = LARGE if self.plan == "answers at length" else 1
-            yield AnswerChunk(b"booked" * size)
-            yield AnswerEnd()
+            yield ResponseChunk(b"booked" * size)
+            yield ResponseEnd()
         except (GeneratorExit, anyio.get_cancelled_exc_class()):
             self.cancelled += 1
             raise
--- a/tests/steps/peers/membership_steps.py
+++ b/tests/steps/peers/membership_steps.py
@@ -95,7 +95,7 @@
         def listener(vm, data):
             context.heard.setdefault(member.id.name, []).append((vm.id.name, data))
 
-        member.members.heard("position", listener)
+        member.members.subscribe("position", listener)
 
     async def run():
         for member in context.fleet.members.values():
--- a/tests/steps/peers/silent_steps.py
+++ b/tests/steps/peers/silent_steps.py
@@ -9,7 +9,7 @@
 from h2.exceptions import StreamClosedError
 
 from hickorybeam.errors import GatewayError
-from hickorybeam.model import AnswerChunk, VmId
+from hickorybeam.model import ResponseChunk, VmId
 from hickorybeam.peers.links import AbortableProtocol
 from hickorybeam.peers.server import PeerServer
 from hickorybeam.peers.wire import Answered, Ask, NumberedAsk
@@ -21,7 +21,7 @@
 SILENT_MS = 400
 # Shorter than the pings take, so that it is the failed request that gives the connection up.
 ASK_TIMEOUT_MS = 250
-STEADY = replace(ECHO, name="steady echo", steady=True)
+STEADY = replace(ECHO, name="steady echo", shared_stream=True)
 TINY_BUFFER = 2048
 
 
@@ -103,7 +103,7 @@
             async with aclosing(context.a.peers.forward(make_call(), context.target)) as parts:
                 async for part in parts:
                     got.append(part)
-                    if isinstance(part, AnswerChunk):
+                    if isinstance(part, ResponseChunk):
                         await context.relay.drop_bytes_of_open()
                         took = OwnTime()
         except GatewayError as exc:
--- a/tests/steps/peers/transport_steps.py
+++ b/tests/steps/peers/transport_steps.py
@@ -9,8 +9,8 @@
 
 from hickorybeam.errors import ErrorKind, GatewayError, Ran
 from hickorybeam.model import (
-    AnswerChunk,
-    AnswerEnd,
+    ResponseChunk,
+    ResponseEnd,
     ClientKey,
     ObjectKind,
     ObjectRef,
@@ -167,14 +167,14 @@
 
 
 def body(parts):
-    return ",".join(part.data.decode() for part in parts if isinstance(part, AnswerChunk))
+    return ",".join(part.data.decode() for part in parts if isinstance(part, ResponseChunk))
 
 
 @then('the forwarded answer is "{chunks}" with its end')
 def step_whole(context, chunks):
     assert context.error is None, context.error
     assert body(context.parts) == chunks
-    assert isinstance(context.parts[-1], AnswerEnd)
+    assert isinstance(context.parts[-1], ResponseEnd)
     assert context.parts[-1].usage.total == 7
 
 
@@ -187,7 +187,7 @@
 @then('the forwarded answer is "{chunks}" and fails with {kind}, ran {ran}')
 def step_broken(context, chunks, kind, ran):
     assert body(context.parts) == chunks, context.parts
-    assert not any(isinstance(part, AnswerEnd) for part in context.parts)
+    assert not any(isinstance(part, ResponseEnd) for part in context.parts)
     step_fails(context, kind, ran)
 
 
@@ -209,7 +209,7 @@
             async with aclosing(context.a.peers.forward(make_call(), context.b.vm)) as parts:
                 async for part in parts:
                     got.append(part)
-                    if isinstance(part, AnswerChunk):
+                    if isinstance(part, ResponseChunk):
                         context.b.kill()
         except GatewayError as exc:
             context.cancelling = asyncio.current_task().cancelling()
@@ -229,7 +229,7 @@
     async def run():
         async with aclosing(context.a.peers.forward(make_call(), context.b.vm)) as parts:
             async for part in parts:
-                if isinstance(part, AnswerChunk):
+                if isinstance(part, ResponseChunk):
                     return
 
     context.call(run)
@@ -249,7 +249,7 @@
     async def run():
         context.answer = context.a.peers.forward(make_call(), context.b.vm)
         async for part in context.answer:
-            if isinstance(part, AnswerChunk):
+            if isinstance(part, ResponseChunk):
                 break
         before = -1
         while context.b.dispatch.produced > before:
@@ -268,8 +268,8 @@
 def step_rest(context, count):
     parts, error = context.call(collect, context.answer)
     assert error is None, error
-    assert sum(isinstance(part, AnswerChunk) for part in parts) == count - 1
-    assert isinstance(parts[-1], AnswerEnd)
+    assert sum(isinstance(part, ResponseChunk) for part in parts) == count - 1
+    assert isinstance(parts[-1], ResponseEnd)
 
 
 @when("peer node A forwards {count:d} calls to B at once")
--- a/tests/steps/platform/platform_steps.py
+++ b/tests/steps/platform/platform_steps.py
@@ -7,9 +7,9 @@
 from behave import given, then, when
 
 from hickorybeam.errors import GatewayError
-from hickorybeam.http1 import AnswerHead, Incoming
+from hickorybeam.http1 import ResponseHead, IncomingRequest
 from hickorybeam.model import key_digest
-from hickorybeam.platform import NewConfig, Unreadable, decode_answer, decode_call, decode_entry
+from hickorybeam.platform import ConfigEntry, InvalidEntry, decode_response, decode_call, decode_entry
 from steps.store.contract_steps import kv_client, serve_kv
 
 EXAMPLE = {
@@ -54,7 +54,7 @@
 @given("the example configuration of the platform")
 def step_example(context):
     match decode_entry("op/config", msgspec.json.encode(EXAMPLE)):
-        case NewConfig(config):
+        case ConfigEntry(config):
             context.config_found = config
         case other:
             raise AssertionError(other)
@@ -101,14 +101,14 @@
 
 @then('the entry "{key}" with value "{value}" is unreadable')
 def step_unreadable(context, key, value):
-    assert isinstance(decode_entry(key, value.encode()), Unreadable)
+    assert isinstance(decode_entry(key, value.encode()), InvalidEntry)
 
 
 @then('header "{name}" with "{value}" makes a call with {field} "{found}"')
 def step_header(context, name, value, field, found):
     headers = ((name.lower().encode(), value.encode()),)
     call = decode_call(
-        Incoming(method="GET", target=b"/a/b?c", headers=headers, body=b"", arrived_ms=1_000)
+        IncomingRequest(method="GET", target=b"/a/b?c", headers=headers, body=b"", arrived_ms=1_000)
     )
     assert str(getattr(call, field)) == found, getattr(call, field)
 
@@ -118,7 +118,7 @@
 def step_answer(context, status, field, found, headers=""):
     name, _, value = headers.partition(": ")
     raw = ((name.lower().encode(), value.encode()),) if headers else ()
-    facts = decode_answer(AnswerHead(status, raw))
+    facts = decode_response(ResponseHead(status, raw))
     assert str(getattr(facts, field)) == found, getattr(facts, field)
 
 
--- a/tests/steps/policy/once_machine.py
+++ b/tests/steps/policy/once_machine.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from hickorybeam.errors import ANSWERS, ErrorKind, Ran
+from hickorybeam.errors import ERROR_RESPONSES, ErrorKind, Ran
 from hickorybeam.model import VmId
 from hickorybeam.policy.at_most_once import (
     Claim,
@@ -78,7 +78,7 @@
     def refuse(self, attempt, kind):
         """Note a refusal; one that says "not run" must be right for this content."""
         attempt.step = "refused"
-        if ANSWERS[kind].ran is Ran.NO and kind is not ErrorKind.IDEMPOTENCY_MISMATCH:
+        if ERROR_RESPONSES[kind].ran is Ran.NO and kind is not ErrorKind.IDEMPOTENCY_MISMATCH:
             self.wrong.append((attempt.key, kind)) if attempt.ran else None
         if kind is ErrorKind.IDEMPOTENCY_MISMATCH and attempt.content in self.contents[attempt.key]:
             self.wrong.append((attempt.key, kind))
--- a/tests/steps/shares/fakes.py
+++ b/tests/steps/shares/fakes.py
@@ -203,7 +203,7 @@
     async def wait_for(self, position, *, timeout_ms):
         return self.state
 
-    async def changed(self, position):
+    async def wait_past(self, position):
         await self.event.wait()
         return self.state
 
@@ -244,10 +244,10 @@
     def publish(self, name, note):
         pass
 
-    def heard(self, name, listener):
+    def subscribe(self, name, listener):
         pass
 
-    def leave(self):
+    def announce_leaving(self):
         pass
 
 
--- a/tests/steps/standins/server_steps.py
+++ b/tests/steps/standins/server_steps.py
@@ -8,7 +8,7 @@
 from hickorybeam.clock import SystemClock
 from hickorybeam.http1 import UpstreamPool
 from hickorybeam.http1.head import request_bytes
-from hickorybeam.platform import decode_answer
+from hickorybeam.platform import decode_response
 from hickorybeam.standins.batch import EngineShape
 from hickorybeam.standins.deployment import caller_headers
 from hickorybeam.standins.keyvalue import serve_store
@@ -39,7 +39,7 @@
     number = len(context.engine.arrivals)
     counts = b"10,%d" % tokens
     headers = caller_headers(f"{number:016x}", key="small", wait_ms=60_000, tokens=counts)
-    conn = await context.pool.take(("127.0.0.1", context.engine.port), fresh=True)
+    conn = await context.pool.acquire(("127.0.0.1", context.engine.port), fresh=True)
     conn.send(request_bytes("POST", b"/chat/x", headers, b""))
     while len(context.engine.arrivals) == number:
         await anyio.sleep(0.001)
@@ -66,26 +66,26 @@
 def step_ask(context, tokens):
     async def ask():
         conn = await sent(context, tokens)
-        head = await conn.head()
-        return head, await conn.body()
+        head = await conn.read_head()
+        return head, await conn.read_body()
 
     context.head, context.body = context.call(ask)
 
 
 @then("the engine's answer is a stream of {count:d} events")
 def step_stream(context, count):
-    assert decode_answer(context.head).streamed, context.head
+    assert decode_response(context.head).streamed, context.head
     assert context.body.count(b"id: ") == count, context.body
 
 
 @then("the engine's answer tells a load of {slots:d} slots")
 def step_load(context, slots):
-    load = decode_answer(context.head).load
+    load = decode_response(context.head).load
     assert load is not None, context.head
     assert load.slots == slots, load
 
 
 @then("the engine's answer is {status:d}, not run")
 def step_not_run(context, status):
-    facts = decode_answer(context.head)
+    facts = decode_response(context.head)
     assert (facts.status, facts.not_run) == (status, True), facts
--- a/tests/steps/store/etcd_steps.py
+++ b/tests/steps/store/etcd_steps.py
@@ -3,7 +3,7 @@
 import httpcore
 from behave import given, then, when
 
-from hickorybeam.httpserve import listening
+from hickorybeam.httpserve import serve_app
 from hickorybeam.standins import relay
 from hickorybeam.store import Compare, Put
 from hickorybeam.store.retry import RetryBudget
@@ -94,7 +94,7 @@
         await send({"type": "http.response.body", "body": text.encode() + b"\n"})
 
     listener = context.stack.enter_context(
-        context.portal.wrap_async_context_manager(listening(app))
+        context.portal.wrap_async_context_manager(serve_app(app))
     )
     context.client = context.call(etcd_client, listener.url)
 
--- a/tests/steps/telemetry/logs_steps.py
+++ b/tests/steps/telemetry/logs_steps.py
@@ -25,7 +25,7 @@
     context.stack.callback(os.close, context.read)
     context.stack.callback(os.close, write)
     context.lines = context.stack.enter_context(ExitStack())
-    context.lines.enter_context(logs.logged(LogSettings(format="json"), descriptor=write))
+    context.lines.enter_context(logs.process_logging(LogSettings(format="json"), descriptor=write))
     context.raw = b""
 
 
@@ -37,7 +37,7 @@
 
 @when('a decision "{event}" is logged with request "{request}" and first_ms {first_ms:d}')
 def step_decision(context, event, request, first_ms):
-    DecisionLog(ManualClock()).note(event, request=request, first_ms=first_ms)
+    DecisionLog(ManualClock()).write(event, request=request, first_ms=first_ms)
 
 
 @when("{count:d} lines of {size:d} bytes are logged")
--- a/tests/steps/tickets/fakes.py
+++ b/tests/steps/tickets/fakes.py
@@ -87,13 +87,13 @@
     def publish(self, name, note, *, urgent=False):
         self.notes[name] = note
 
-    def listening(self, *, http_port):
+    def announce_serving(self, *, http_port):
         pass
 
-    def heard(self, name, listener):
+    def subscribe(self, name, listener):
         self.listeners[name] = listener
 
-    def leave(self):
+    def announce_leaving(self):
         pass
 
     async def main(self, started):
@@ -167,7 +167,7 @@
         state = self.config.current()
         while True:
             self.seen.append(state)
-            state = await self.config.changed(state.position)
+            state = await self.config.wait_past(state.position)
 
 
 class Fleet:
--- a/tests/steps/tickets/log_machine.py
+++ b/tests/steps/tickets/log_machine.py
@@ -44,7 +44,7 @@
         for position, old in enumerate(self.accepted, 1):
             if old.number == ticket.number:
                 return Accepted(position) if old == ticket else Conflict(position)
-        for ref in ticket.touched():
+        for ref in ticket.changed_refs():
             if self.oracle_value(ref.name, len(self.accepted))[0] > ticket.number:
                 return Stale
         for ref in ticket.deleted:
--- a/tests/support/fleet.py
+++ b/tests/support/fleet.py
@@ -125,7 +125,7 @@
         member = Member(name, data_centre, self.table, **kwargs)
         await self.tg.start(member.run)
         self.members[name] = member
-        member.members.listening(http_port=1)
+        member.members.announce_serving(http_port=1)
         return member
 
     async def kill(self, name):
--- a/tests/support/peer_nodes.py
+++ b/tests/support/peer_nodes.py
@@ -11,9 +11,9 @@
 from hickorybeam.errors import ErrorKind, GatewayError
 from hickorybeam.kernel import Kernel, Service
 from hickorybeam.model import (
-    AnswerChunk,
-    AnswerEnd,
-    AnswerHead,
+    ResponseChunk,
+    ResponseEnd,
+    ResponseHead,
     Call,
     CallKind,
     ClientAccount,
@@ -79,13 +79,13 @@
     def publish(self, name, note, **kwargs):
         pass
 
-    def heard(self, name, listener):
+    def subscribe(self, name, listener):
         pass
 
-    def leave(self):
+    def announce_leaving(self):
         pass
 
-    def listening(self, **ports):
+    def announce_serving(self, **ports):
         pass
 
 
@@ -110,7 +110,7 @@
         self.state = self.fetched
         return self.state
 
-    async def changed(self, position):
+    async def wait_past(self, position):
         await anyio.sleep_forever()
 
     async def submit(self, ticket):
@@ -140,10 +140,10 @@
                 )
             if self.plan == "hang":
                 await anyio.sleep_forever()
-            yield AnswerHead(200)
+            yield ResponseHead(200)
             for data in self.chunks:
                 self.produced += 1
-                yield AnswerChunk(data, tokens=1)
+                yield ResponseChunk(data, tokens=1)
                 await self.go.wait()
                 if self.plan == "stall":
                     await anyio.sleep_forever()
@@ -153,7 +153,7 @@
                     return
                 if self.plan == "fail":
                     raise GatewayError(ErrorKind.BACKEND_SILENT, "engine")
-            yield AnswerEnd(Usage(3, 4), "engine-1", "dakar")
+            yield ResponseEnd(Usage(3, 4), "engine-1", "dakar")
         finally:
             self.closed.set()
 
--- a/tools/make_reference.py
+++ b/tools/make_reference.py
@@ -14,7 +14,7 @@
 import anyio
 
 from hickorybeam.daemon import Daemon
-from hickorybeam.errors import ANSWERS
+from hickorybeam.errors import ERROR_RESPONSES
 from hickorybeam.gateway.daemon import build
 from hickorybeam.model import ChangeTicket
 from hickorybeam.settings import PlatformSettings, Settings, TlsSettings, VmSettings
@@ -94,7 +94,7 @@
     """Return the table of error kinds."""
     rows = [
         f"| `{kind.value}` | {a.status} | {a.ran.value} | {a.retry.value} | {a.text} |"
-        for kind, a in ANSWERS.items()
+        for kind, a in ERROR_RESPONSES.items()
     ]
     return "| code | status | ran | retry | meaning |\n|---|---|---|---|---|\n" + "\n".join(rows)
 
