--- a/src/hickorybeam/platform/__init__.py
+++ b/src/hickorybeam/platform/__init__.py
@@ -1,20 +1,25 @@
-"""The adapter to the users' platform: its names, formats and calls; nothing here decides."""
+"""Adapter to the users' platform: its names, formats and calls. It makes no decisions."""
 
 from __future__ import annotations
 
-from hickorybeam.platform.responses import ResponseInfo, ServerLoad, decode_response, refusal_headers
-from hickorybeam.platform.responses import for_caller as response_headers
-from hickorybeam.platform.requests import decode_call, server_headers
 from hickorybeam.platform.directory import DirectoryQuery, decode_query, directory_response
 from hickorybeam.platform.entries import (
-    EvacuationEntry,
-    DecodedEntry,
     ConfigEntry,
-    ServerEntry,
+    DecodedEntry,
+    EvacuationEntry,
     InvalidEntry,
+    ServerEntry,
     decode_entry,
 )
 from hickorybeam.platform.names import EVACUATION_PREFIX, REQUEST_ID
+from hickorybeam.platform.requests import decode_call, server_headers
+from hickorybeam.platform.responses import (
+    ResponseInfo,
+    ServerLoad,
+    decode_response,
+    refusal_headers,
+    response_headers,
+)
 from hickorybeam.platform.store import PlatformStore
 
 WATCHED_PREFIXES = ("op/", "servers/")
--- a/src/hickorybeam/platform/directory.py
+++ b/src/hickorybeam/platform/directory.py
@@ -1,4 +1,4 @@
-"""The directory's question and answer, and the paths on which the gateway is asked."""
+"""Directory queries and responses, and the paths of the directory and the readiness check."""
 
 from __future__ import annotations
 
@@ -11,15 +11,21 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-__all__ = ("READINESS", "RESOLUTION", "DirectoryQuery", "decode_query", "directory_response")
+__all__ = (
+    "READINESS_PATH",
+    "RESOLUTION_PATH",
+    "DirectoryQuery",
+    "decode_query",
+    "directory_response",
+)
 
-RESOLUTION = "/resolution"
-READINESS = "/readiness"
+RESOLUTION_PATH = "/resolution"
+READINESS_PATH = "/readiness"
 
 
 @dataclass(frozen=True, slots=True)
 class DirectoryQuery:
-    """Which host a caller wants to reach, and from where."""
+    """The host that a caller wants to reach, and where the caller is."""
 
     host: str
     region: str
@@ -27,18 +33,18 @@
 
 
 def decode_query(target: bytes) -> DirectoryQuery | None:
-    """Read a question to the directory; ``None`` if the path is another one."""
+    """Decode a directory query; return ``None`` for any other path."""
     path, _, query = target.decode("latin-1").partition("?")
-    if path != RESOLUTION:
+    if path != RESOLUTION_PATH:
         return None
-    found = parse_qs(query)
+    fields = parse_qs(query)
     return DirectoryQuery(
-        host=found.get("name", [""])[0],
-        region=found.get("region", [""])[0],
-        data_centre=found.get("zone", [""])[0],
+        host=fields.get("name", [""])[0],
+        region=fields.get("region", [""])[0],
+        data_centre=fields.get("zone", [""])[0],
     )
 
 
 def directory_response(addresses: Sequence[str], *, ttl_ms: int) -> bytes:
-    """Return the directory's answer: callers' addresses of VMs and how long they hold."""
+    """Encode the VM addresses for callers and how long they stay valid."""
     return msgspec.json.encode({"addresses": list(addresses), "ttl-s": ttl_ms / 1000})
--- a/src/hickorybeam/platform/entries.py
+++ b/src/hickorybeam/platform/entries.py
@@ -1,4 +1,4 @@
-"""Entries of the platform's store decoded into the product's own types."""
+"""Decode entries of the platform's store into the types of ``model/routing.py``."""
 
 from __future__ import annotations
 
@@ -27,53 +27,60 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-__all__ = ("EvacuationEntry", "DecodedEntry", "ConfigEntry", "ServerEntry", "InvalidEntry", "decode_entry")
+__all__ = (
+    "ConfigEntry",
+    "DecodedEntry",
+    "EvacuationEntry",
+    "InvalidEntry",
+    "ServerEntry",
+    "decode_entry",
+)
 
-REPEATS = {
+REPEAT_BY_KIND = {
     "safe": Repeat.IDEMPOTENT,
     "unsafe": Repeat.ONCE,
     "streaming": Repeat.STREAM,
 }
-STATES = {"ready": False, "draining": True}
+LEAVING_BY_STATE = {"ready": False, "draining": True}
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigEntry:
-    """A whole routing configuration."""
+    """An entry that holds the whole routing configuration."""
 
     config: RoutingConfig
 
 
 @dataclass(frozen=True, slots=True)
 class ServerEntry:
-    """A backend server registered itself, or changed what it says."""
+    """An entry that a backend server registered, or updated."""
 
     server: RegisteredServer
 
 
 @dataclass(frozen=True, slots=True)
 class EvacuationEntry:
-    """A data centre's backend servers are to get nothing more."""
+    """An entry that evacuates a data centre: its backend servers get no new work."""
 
     data_centre: str
 
 
 @dataclass(frozen=True, slots=True)
 class InvalidEntry:
-    """An entry that names nothing to use; ``why`` goes to the log."""
+    """An entry that cannot be used; ``reason`` goes to the log."""
 
     key: str
-    why: str
+    reason: str
 
 
 DecodedEntry = ConfigEntry | ServerEntry | EvacuationEntry | InvalidEntry
 
 
 def decode_entry(key: str, value: bytes) -> DecodedEntry:
-    """Read one entry of the store.
+    """Decode one entry of the store.
 
-    Other writers may leave entries with fields missing or of other types; these are told as
-    ``InvalidEntry`` and the others hold.
+    Other writers may leave entries with missing fields or fields of another type. Such an entry
+    becomes an ``InvalidEntry`` and does not affect the others.
     """
     if key.startswith(names.EVACUATION_PREFIX):
         return EvacuationEntry(key.removeprefix(names.EVACUATION_PREFIX))
@@ -85,11 +92,11 @@
             return ServerEntry(decode_server(key.removeprefix(names.SERVER_PREFIX), raw))
     except (msgspec.DecodeError, KeyError, TypeError, ValueError, AttributeError) as exc:
         return InvalidEntry(key, f"{type(exc).__name__}: {exc}")
-    return InvalidEntry(key, "not a key of ours")
+    return InvalidEntry(key, "unknown key")
 
 
 def decode_config(raw: Mapping[str, Any]) -> RoutingConfig:
-    """Read a whole configuration."""
+    """Decode the routing configuration."""
     accounts = raw.get("tenants") or []
     limits = raw.get("limits") or {}
     return RoutingConfig(
@@ -111,14 +118,14 @@
 
 
 def decode_route(raw: Mapping[str, Any]) -> Route:
-    """Read one route; its kind says what may be repeated."""
-    split = raw.get("traffic-split") or [{"service": raw["service"], "weight": 1}]
+    """Decode one route; its kind says whether requests may be retried."""
+    targets = raw.get("traffic-split") or [{"service": raw["service"], "weight": 1}]
     return Route(
         name=raw["name"],
         host=raw["host"].lower(),
         prefix=raw["prefix"],
-        repeat=REPEATS[raw["kind"]],
-        targets=tuple(WeightedService(it["service"], float(it["weight"])) for it in split),
+        repeat=REPEAT_BY_KIND[raw["kind"]],
+        targets=tuple(WeightedService(it["service"], float(it["weight"])) for it in targets),
         timeout_ms=int(raw.get("timeout-ms") or 60_000),
         target_ms=int(raw.get("target-latency-ms") or 1_000),
         gap_ms=int(raw.get("target-gap-ms") or 0),
@@ -132,7 +139,7 @@
 
 
 def decode_service(raw: Mapping[str, Any]) -> ServiceSpec:
-    """Read one service."""
+    """Decode one service."""
     engine = raw.get("engine")
     return ServiceSpec(
         name=raw["name"],
@@ -150,7 +157,7 @@
 
 
 def decode_account(raw: Mapping[str, Any]) -> AccountTerms:
-    """Read one account's terms; the wire calls an account a tenant."""
+    """Decode one account's terms; the wire calls an account a tenant."""
     rank = raw.get("priority")
     return AccountTerms(
         name=raw["name"],
@@ -164,11 +171,11 @@
 
 
 def decode_server(server_id: str, raw: Mapping[str, Any]) -> RegisteredServer:
-    """Read what a backend server says of itself; the wire calls a data centre a zone."""
+    """Decode a backend server's registration; the wire calls a data centre a zone."""
     host, _, port = raw["address"].rpartition(":")
     if not isinstance(raw["service"], str) or not isinstance(raw["zone"], str) or not host:
-        raise ValueError("service, zone or address of another type")
-    remaining = raw.get("remaining-ms")
+        raise ValueError("service and zone must be strings, address host:port")
+    gone_in_ms = raw.get("remaining-ms")
     return RegisteredServer(
         id=server_id,
         service=raw["service"],
@@ -176,9 +183,9 @@
         port=int(port),
         data_centre=raw["zone"],
         slots=max(1, int(raw["slots"])),
-        leaving=STATES[raw["state"]],
+        leaving=LEAVING_BY_STATE[raw["state"]],
         cold_ms=int(raw.get("cold-remaining-ms") or 0),
-        gone_in_ms=None if remaining is None else int(remaining),
+        gone_in_ms=None if gone_in_ms is None else int(gone_in_ms),
         born_ms=int(raw.get("born") or 0),
         version=str(raw.get("version", "")),
     )
--- a/src/hickorybeam/platform/names.py
+++ b/src/hickorybeam/platform/names.py
@@ -1,4 +1,4 @@
-"""Names on the platform's wire: headers, fields, keys and words."""
+"""Names on the platform's wire: headers and keys of its store."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 NOT_RUN = b"x-hickorybeam-not-executed"
 COLD = b"x-hickorybeam-cold-milliseconds"
 URGENCY = b"x-hickorybeam-request-urgency"
-# Names a server whose cache is to be copied from; the wire calls the cache KV.
+# Address of a server to copy the prompt's KV cache from.
 COPY_FROM = b"kv-fetch"
 AUTHORIZATION = b"authorization"
 RETRY_AFTER = b"retry-after"
 BEARER = b"bearer "
 
-# Set by the gateway only; what a caller sends under these names is dropped.
-OURS = frozenset(
+# Set by the gateway only; dropped from callers' requests.
+GATEWAY_ONLY = frozenset(
     {
         ACCOUNT,
         EXPECT_SERVER,
@@ -40,10 +40,10 @@
         COPY_FROM,
     }
 )
-# These reach the server whatever a caller's connection header names.
-KEPT = frozenset({REQUEST_ID, DEADLINE, PREFIX, TOKENS, MODEL, LAST_EVENT, b"host"})
-# They concern one connection only.
-ONE_CONNECTION = frozenset(
+# Forwarded even if the caller's Connection header names them.
+ALWAYS_FORWARDED = frozenset({REQUEST_ID, DEADLINE, PREFIX, TOKENS, MODEL, LAST_EVENT, b"host"})
+# Valid for one connection only; never forwarded.
+HOP_BY_HOP = frozenset(
     {
         b"connection",
         b"keep-alive",
@@ -58,7 +58,7 @@
     }
 )
 
-# Keys of the store.
+# Keys and key prefixes of the store.
 CONFIG_KEY = "op/config"
 EVACUATION_PREFIX = "op/evacuate/"
 SERVER_PREFIX = "servers/"
--- a/src/hickorybeam/platform/requests.py
+++ b/src/hickorybeam/platform/requests.py
@@ -1,4 +1,4 @@
-"""Callers' requests decoded, and what goes on to a backend server encoded."""
+"""Decode callers' requests and encode the headers that go on to a backend server."""
 
 from __future__ import annotations
 
@@ -13,32 +13,33 @@
 
 __all__ = ("decode_call", "decode_parts", "server_headers")
 
-# A caller that tells no deadline, in ms.
+# For callers that declare no deadline.
 DEFAULT_DEADLINE_MS = 60_000
-MAX_PARTS = 64
+MAX_PROMPT_PARTS = 64
 
 
 def decode_call(req: IncomingRequest) -> RelayCall:
-    """Read a caller's request; what cannot be read counts as not told."""
+    """Decode a caller's request; invalid headers count as not sent."""
     headers = req.headers
-    patience = number(find_header(headers, names.DEADLINE))
+    remaining_ms = parse_number(find_header(headers, names.DEADLINE))
     prompt, output = token_counts(find_header(headers, names.TOKENS))
     return RelayCall(
-        request_id=text(find_header(headers, names.REQUEST_ID)),
+        request_id=decode_text(find_header(headers, names.REQUEST_ID)),
         method=req.method,
         target=req.target,
-        host=host_of(text(find_header(headers, b"host"))),
+        host=without_port(decode_text(find_header(headers, b"host"))),
         path=req.target.partition(b"?")[0].decode("latin-1"),
-        headers=passed_on(headers),
+        headers=forwarded_headers(headers),
         body=req.body,
-        key=bearer(find_header(headers, names.AUTHORIZATION)),
+        key=bearer_key(find_header(headers, names.AUTHORIZATION)),
         arrived_ms=req.arrived_ms,
-        deadline_ms=req.arrived_ms + (DEFAULT_DEADLINE_MS if patience is None else patience),
+        deadline_ms=req.arrived_ms
+        + (DEFAULT_DEADLINE_MS if remaining_ms is None else remaining_ms),
         prompt_tokens=prompt,
         output_tokens=output,
         tokens_told=prompt + output > 0,
         parts=decode_parts(find_header(headers, names.PREFIX)),
-        resume_after=text(find_header(headers, names.LAST_EVENT)) or None,
+        resume_after=decode_text(find_header(headers, names.LAST_EVENT)) or None,
     )
 
 
@@ -52,15 +53,15 @@
     resume_after: str | None,
     copy_from: str | None = None,
 ) -> RawHeaders:
-    """Return the headers with which a call goes to a backend server.
+    """Return the headers of a call to a backend server.
 
-    :param left_ms: how long the server may work on it.
-    :param urgency: 0 first, 9 last.
-    :param resume_after: id of the last event that the caller has, if a stream goes on.
+    :param left_ms: time remaining for the server to work on it.
+    :param urgency: 0 is the most urgent, 9 the least.
+    :param resume_after: id of the last event that the caller received, if a stream is resumed.
     :param copy_from: ``host:port`` of a server that holds shared parts of the prompt.
     """
-    own = {names.DEADLINE, names.LAST_EVENT}
-    headers = [pair for pair in call.headers if pair[0] not in own]
+    replaced = {names.DEADLINE, names.LAST_EVENT}
+    headers = [pair for pair in call.headers if pair[0] not in replaced]
     headers.append((names.DEADLINE, b"%d" % max(1, left_ms)))
     headers.append((names.EXPECT_SERVER, server_id.encode("latin-1")))
     headers.append((names.URGENCY, b"%d" % urgency))
@@ -73,22 +74,22 @@
     return tuple(headers)
 
 
-def passed_on(headers: RawHeaders) -> RawHeaders:
-    """Drop what concerns the caller's connection and what only the gateway may set."""
-    dropped = names.ONE_CONNECTION | names.OURS
+def forwarded_headers(headers: RawHeaders) -> RawHeaders:
+    """Drop hop-by-hop headers and those that only the gateway may set."""
+    dropped = names.HOP_BY_HOP | names.GATEWAY_ONLY
     for name, value in headers:
         if name == b"connection":
-            named = {part.strip().lower() for part in value.split(b",")}
-            dropped |= named - names.KEPT
+            listed = {part.strip().lower() for part in value.split(b",")}
+            dropped |= listed - names.ALWAYS_FORWARDED
     return tuple(pair for pair in headers if pair[0] not in dropped)
 
 
 def decode_parts(value: bytes | None) -> tuple[PromptPart, ...]:
-    """Read the parts of a prompt in order; an unreadable list counts as none."""
+    """Decode the parts of a prompt in order; an invalid list counts as empty."""
     if not value:
         return ()
     parts = []
-    for entry in value.split(b",")[:MAX_PARTS]:
+    for entry in value.split(b",")[:MAX_PROMPT_PARTS]:
         name, _, tokens = entry.strip().rpartition(b":")
         if not name or not tokens.isdigit():
             return ()
@@ -97,31 +98,31 @@
 
 
 def token_counts(value: bytes | None) -> tuple[int, int]:
-    """Read prompt tokens and the most output tokens, 0 and 0 where they are not told."""
+    """Decode prompt tokens and maximum output tokens; both are 0 unless both are declared."""
     first, _, second = (value or b"").partition(b",")
-    prompt, output = number(first), number(second)
+    prompt, output = parse_number(first), parse_number(second)
     return (0, 0) if prompt is None or output is None else (prompt, output)
 
 
-def bearer(value: bytes | None) -> str | None:
-    """Return the key that came with a request."""
+def bearer_key(value: bytes | None) -> str | None:
+    """Return the key of an Authorization header, if its scheme is Bearer."""
     if value is None or value[: len(names.BEARER)].lower() != names.BEARER:
         return None
     return value[len(names.BEARER) :].strip().decode("latin-1")
 
 
-def host_of(value: str) -> str:
-    """Return the host that a caller asked for, without its port."""
+def without_port(value: str) -> str:
+    """Return the requested host in lower case, without its port."""
     host, _, port = value.lower().rpartition(":")
     return host if port.isdigit() else value.lower()
 
 
-def number(value: bytes | None) -> int | None:
-    """Read a whole number that is not negative."""
+def parse_number(value: bytes | None) -> int | None:
+    """Decode a non-negative integer of less than 16 digits."""
     digits = (value or b"").strip()
     return int(digits) if digits.isdigit() and len(digits) < 16 else None
 
 
-def text(value: bytes | None) -> str:
-    """Read a header's text."""
+def decode_text(value: bytes | None) -> str:
+    """Decode a header's value; a missing one is empty."""
     return (value or b"").decode("latin-1")
--- a/src/hickorybeam/platform/responses.py
+++ b/src/hickorybeam/platform/responses.py
@@ -1,4 +1,4 @@
-"""Backend servers' answers decoded into facts, and which headers a caller gets."""
+"""Decode backend servers' responses and choose the headers that the caller gets."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 from hickorybeam.platform import names
 
 if TYPE_CHECKING:
-    from hickorybeam.http1 import ResponseHead, RawHeaders
+    from hickorybeam.http1 import RawHeaders, ResponseHead
 
-__all__ = ("ResponseInfo", "ServerLoad", "decode_response", "for_caller", "refusal_headers")
+__all__ = ("ResponseInfo", "ServerLoad", "decode_response", "refusal_headers", "response_headers")
 
 MISDIRECTED = 421
-# Statuses that promise that a request was not run; only the gateway or a server that says so
-# may use them.
-PROMISES = (408, 421, 429, 503)
+# A caller takes these to mean that the request was not run. Only the gateway, or a server that
+# states it, may use them.
+NOT_RUN_STATUSES = (408, 421, 429, 503)
 
 
 @dataclass(frozen=True, slots=True)
 class ServerLoad:
-    """What a backend server tells of itself: requests that run, that wait, and its slots."""
+    """Load that a backend server reports: running requests, waiting requests, and its slots."""
 
     running: int
     waiting: int
@@ -30,10 +30,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ResponseInfo:
-    """What the head of a backend server's answer says.
+    """The decoded head of a backend server's response.
 
-    ``not_run`` is a promise of the server; ``implies_not_run`` is true for statuses that would make
-    one to the caller; ``signed`` answers are the server's own.
+    ``not_run``: the server states that it did not run the request. ``implies_not_run``: the status
+    would tell the caller so. ``signed``: the response comes from the server itself.
     """
 
     status: int
@@ -47,7 +47,7 @@
 
 
 def decode_response(head: ResponseHead) -> ResponseInfo:
-    """Read the head of an answer."""
+    """Decode the head of a response."""
     headers = head.headers
     misdirected = head.status == MISDIRECTED
     return ResponseInfo(
@@ -55,7 +55,7 @@
         signed=bool(find_header(headers, names.SIGNATURE)),
         not_run=misdirected or find_header(headers, names.NOT_RUN) is not None,
         misdirected=misdirected,
-        implies_not_run=head.status in PROMISES,
+        implies_not_run=head.status in NOT_RUN_STATUSES,
         load=decode_load(find_header(headers, names.LOAD)),
         cold_ms=decode_cold(find_header(headers, names.COLD)),
         streamed=(find_header(headers, b"content-type") or b"").startswith(b"text/event-stream"),
@@ -63,7 +63,7 @@
 
 
 def decode_load(value: bytes | None) -> ServerLoad | None:
-    """Read a server's load, if it tells any."""
+    """Decode the load that a server reports, if it reports a valid one."""
     figures = [part.strip() for part in (value or b"").split(b",")]
     if len(figures) != 3 or not all(figure.isdigit() for figure in figures):
         return None
@@ -72,19 +72,19 @@
 
 
 def decode_cold(value: bytes | None) -> int | None:
-    """Read for how many ms a server stays cold."""
+    """Decode how long a server stays cold, in ms."""
     digits = (value or b"").strip()
     return int(digits) if digits.isdigit() else None
 
 
-def for_caller(headers: RawHeaders) -> RawHeaders:
-    """Drop what concerns the server's connection or only the gateway."""
-    dropped = names.ONE_CONNECTION | {names.LOAD, names.COLD}
+def response_headers(headers: RawHeaders) -> RawHeaders:
+    """Drop hop-by-hop headers and those meant for the gateway only."""
+    dropped = names.HOP_BY_HOP | {names.LOAD, names.COLD}
     return tuple(pair for pair in headers if pair[0] not in dropped)
 
 
 def refusal_headers(request_id: str, *, retry_after_ms: int | None) -> RawHeaders:
-    """Return the headers of an answer of the gateway's own."""
+    """Return the headers of a refusal by the gateway itself."""
     headers = [(names.REQUEST_ID, request_id.encode("latin-1"))] if request_id else []
     if retry_after_ms is not None:
         headers.append((names.RETRY_AFTER, b"%.3f" % (retry_after_ms / 1000)))
--- a/src/hickorybeam/platform/store.py
+++ b/src/hickorybeam/platform/store.py
@@ -1,4 +1,4 @@
-"""The store's port over the platform's calls."""
+"""Client of the platform's key-value store; implements the port of ``store/port.py``."""
 
 from __future__ import annotations
 
@@ -40,50 +40,52 @@
 
 __all__ = ("PlatformStore",)
 
-READ_ATTEMPTS = 3
-# Whoever reads tries again by itself while the store is out. Each refused call is paid for, and in
-# a large fleet a third of the VMs may be turned away at once.
-READS_SAVED = 3.0
-CONNECT_MS = 400
-SILENT_MS = 1_500
-# How long one call of a watch waits at the store where nothing else is asked for. A watch that
-# went silent is noticed this long plus the margin after its last answer, inside the 6 s that a
-# VM may be out of reach and the 4 s in which a change has to be in force after that.
-WATCH_WAIT_MS = 6_000
-WATCH_MARGIN_MS = 900
+MAX_READ_ATTEMPTS = 3
+# Small, as callers of a read retry by themselves during an outage. Each rejected call is paid for,
+# and in a large fleet a third of the VMs may be rejected at once.
+MAX_SAVED_RETRIES = 3.0
+CONNECT_TIMEOUT_MS = 400
+UNACKNOWLEDGED_TIMEOUT_MS = 1_500
+# Default time that the store holds one poll of a watch. A silent watch is noticed this long plus
+# the margin after its last response: within the 6 s for which a VM may be unreachable plus the 4 s
+# in which a change must then be in force.
+WATCH_POLL_TIMEOUT_MS = 6_000
+WATCH_POLL_MARGIN_MS = 900
 WATCH_CONNECTION_AGE_MS = 60_000
 OK, NOT_FOUND, GONE, CONFLICT, TOO_MANY, UNAVAILABLE = 200, 404, 410, 412, 429, 503
 JSON = ((b"content-type", b"application/json"),)
 
 
 @dataclass(slots=True, eq=False)
-class _WaitingWatch:
-    """A call of a watch that waits at the store since ``asked_ms``."""
+class _PendingPoll:
+    """A poll of a watch that the store holds since ``started_ms``."""
 
     scope: anyio.CancelScope
-    asked_ms: int
+    started_ms: int
 
 
 class PlatformStore(Service):
-    """Calls the platform's store.
+    """Client of the platform's store.
 
-    A write is sent at most once: when its answer is lost, ``PLATFORM_UNKNOWN`` is raised and
-    the owner of the key reads back. Reads are sent again within a budget.
+    A write is sent at most once: if its response is lost, ``PLATFORM_UNKNOWN`` is raised and the
+    owner of the key reads it back. Reads are retried within a budget.
     """
 
     name: ClassVar[str] = PLATFORM
-    watch_wait_ms: int = WATCH_WAIT_MS
+    watch_wait_ms: int = WATCH_POLL_TIMEOUT_MS
     watch_rest_ms: int = 0
 
     def __init__(self, *, cfg: Settings, clock: Clock, counters: Counters) -> None:
         self._address = split_address(cfg.platform.urls[0].removeprefix("http://"))
         self._timeout_ms = cfg.platform.timeout_ms
         self._clock = clock
-        self._pool = UpstreamPool(clock, connect_ms=CONNECT_MS, silent_ms=SILENT_MS)
-        self._budget = RetryBudget(burst=READS_SAVED)
+        self._pool = UpstreamPool(
+            clock, connect_ms=CONNECT_TIMEOUT_MS, silent_ms=UNACKNOWLEDGED_TIMEOUT_MS
+        )
+        self._retry_budget = RetryBudget(burst=MAX_SAVED_RETRIES)
         self._rng = random.Random()
-        self._waiting: set[_WaitingWatch] = set()
-        self._failed_ms: int | None = None
+        self._pending_polls: set[_PendingPoll] = set()
+        self._last_failure_ms: int | None = None
         self._calls = counters.counter(
             "platform_calls", "Calls made of the platform", ("kind", "outcome")
         )
@@ -96,7 +98,7 @@
         return ReadResult(int(reply["at"]), (decode_item(reply),))
 
     async def read_prefix(self, prefix: str, *, start: str = "", limit: int = 0) -> ReadResult:
-        """Read the keys under a prefix; the revision is that of the first page."""
+        """Read the keys under a prefix; the returned revision is that of the first page."""
         items: list[KeyValue] = []
         revision = 0
         after = ""
@@ -113,7 +115,7 @@
             after = page[-1].key
 
     async def txn(self, compares: tuple[Compare, ...], writes: tuple[Write, ...]) -> TxnResult:
-        """Apply all writes if every comparison holds, else none."""
+        """Apply all writes if every comparison holds, otherwise none."""
         puts = [write for write in writes if isinstance(write, Put)]
         if any(len(put.value) > MAX_VALUE_BYTES for put in puts):
             raise GatewayError(ErrorKind.VALUE_TOO_LARGE)
@@ -143,67 +145,70 @@
         return int(reply["ttl-ms"])
 
     async def revoke(self, lease: int) -> None:
-        """End a lease; its keys are removed. One that lapsed before is no fault."""
+        """End a lease, which removes its keys; an expired one is no error."""
         await self._write("revoke", "DELETE", f"/kv-lease-end/{lease}", None)
 
     async def watch(self, prefix: str, *, after: int) -> AsyncIterator[WatchBatch]:
         """Yield changes after a revision, and empty batches while there are none.
 
-        :raises GatewayError: ``WATCH_COMPACTED``, or ``PLATFORM_OUT`` after which all has to be
-            read anew.
+        :raises GatewayError: ``WATCH_COMPACTED``, or ``PLATFORM_OUT``, after which everything must
+            be read again.
         """
         while True:
-            status, reply = await self._watch_once(prefix, after)
+            status, reply = await self._poll(prefix, after)
             if status == GONE:
                 raise GatewayError(ErrorKind.WATCH_COMPACTED, f"after {after}")
             batches = decode_batches(reply)
             for batch in batches:
                 after = max(after, batch.revision)
                 yield batch
-            # Once for each call: a backlog of many changes would take as many rests.
+            # Once per poll: a pause per batch would delay a backlog of changes.
             if reply.get("events"):
                 await self._clock.sleep(self.watch_rest_ms)
 
-    async def _watch_once(self, prefix: str, after: int) -> tuple[int, Mapping[str, Any]]:
+    async def _poll(self, prefix: str, after: int) -> tuple[int, Mapping[str, Any]]:
         wait_ms = self.watch_wait_ms
         path = f"/kv-watch?prefix={quote(prefix, safe='/')}&after={after}&wait-ms={wait_ms}"
-        waiting = _WaitingWatch(anyio.CancelScope(), self._clock.now())
-        self._waiting.add(waiting)
+        poll = _PendingPoll(anyio.CancelScope(), self._clock.now())
+        self._pending_polls.add(poll)
         try:
-            with waiting.scope:
+            with poll.scope:
                 return await self._call(
-                    "watch", "GET", path, None, limit_ms=wait_ms + WATCH_MARGIN_MS
+                    "watch", "GET", path, None, limit_ms=wait_ms + WATCH_POLL_MARGIN_MS
                 )
         finally:
-            self._waiting.discard(waiting)
-        raise GatewayError(ErrorKind.PLATFORM_OUT, "watch: other calls failed and work again")
+            self._pending_polls.discard(poll)
+        raise GatewayError(
+            ErrorKind.PLATFORM_OUT,
+            "watch: poll cancelled, it began before the store's last failure",
+        )
 
-    def _failed(self, kind: str, outcome: str) -> None:
-        self._failed_ms = self._clock.now()
+    def _record_failure(self, kind: str, outcome: str) -> None:
+        self._last_failure_ms = self._clock.now()
         self._count(kind, outcome)
 
-    def _worked(self) -> None:
-        """End the watches that were asked before a call failed, now that one works again.
+    def _cancel_stale_polls(self) -> None:
+        """Cancel polls that began before a call failed, now that one has succeeded again.
 
-        A store that was silent never answers what it was asked meanwhile, and the connection
-        shows no error. The watch would wait its time out, and changes made in an outage would be
-        in force seconds after its end, though other calls work. One read and one call of a watch
-        more for each outage.
+        A store that was silent never responds to a poll of that time, and the connection shows no
+        error. The poll would run into its timeout, and changes made during the outage would be in
+        force seconds after its end, though other calls work. Costs one more read and one more
+        poll per outage.
         """
-        if self._failed_ms is None:
+        if self._last_failure_ms is None:
             return
-        for waiting in self._waiting:
-            if waiting.asked_ms <= self._failed_ms:
-                waiting.scope.cancel()
-        self._failed_ms = None
+        for poll in self._pending_polls:
+            if poll.started_ms <= self._last_failure_ms:
+                poll.scope.cancel()
+        self._last_failure_ms = None
 
     async def _read(self, kind: str, path: str) -> tuple[int, Mapping[str, Any]]:
-        self._budget.earn()
-        for attempt in range(1, READ_ATTEMPTS + 1):
+        self._retry_budget.earn()
+        for attempt in range(1, MAX_READ_ATTEMPTS + 1):
             try:
                 return await self._call(kind, "GET", path, None, limit_ms=self._timeout_ms)
             except GatewayError:
-                if attempt == READ_ATTEMPTS or not self._budget.spend():
+                if attempt == MAX_READ_ATTEMPTS or not self._retry_budget.spend():
                     raise
                 await self._clock.sleep(backoff_ms(attempt, self._rng))
         raise GatewayError(ErrorKind.PLATFORM_OUT)
@@ -226,15 +231,15 @@
         try:
             status, raw = await self._exchange(method, path, body, limit_ms=limit_ms)
         except ConnectFailedError as exc:
-            self._failed(kind, "out")
+            self._record_failure(kind, "out")
             raise GatewayError(ErrorKind.PLATFORM_OUT, str(exc)) from exc
         except (BrokenResponseError, TimeoutError) as exc:
-            # One silent connection may stand for all; the next call opens a new one.
+            # The other idle connections may be dead, too; the next call opens a new one.
             self._pool.close_idle(self._address)
-            self._failed(kind, "unknown")
-            lost = ErrorKind.PLATFORM_UNKNOWN if write else ErrorKind.PLATFORM_OUT
-            raise GatewayError(lost, f"{kind}: {exc!r}") from exc
-        return self._checked(kind, status, raw)
+            self._record_failure(kind, "unknown")
+            error = ErrorKind.PLATFORM_UNKNOWN if write else ErrorKind.PLATFORM_OUT
+            raise GatewayError(error, f"{kind}: {exc!r}") from exc
+        return self._check_response(kind, status, raw)
 
     async def _exchange(
         self, method: str, path: str, body: object | None, *, limit_ms: int
@@ -253,17 +258,19 @@
         self._pool.release(self._address, conn)
         return head.status, raw
 
-    def _checked(self, kind: str, status: int, raw: bytes) -> tuple[int, Mapping[str, Any]]:
+    def _check_response(self, kind: str, status: int, raw: bytes) -> tuple[int, Mapping[str, Any]]:
         if status not in (OK, NOT_FOUND, GONE, CONFLICT):
-            self._failed(kind, "refused")
-            raise GatewayError(ErrorKind.PLATFORM_OUT, f"{kind}: status {status}")
+            self._record_failure(kind, "refused")
+            raise GatewayError(ErrorKind.PLATFORM_OUT, f"{kind}: unexpected status {status}")
         try:
             reply = msgspec.json.decode(raw) if raw else {}
         except msgspec.DecodeError as exc:
             self._count(kind, "unknown")
-            raise GatewayError(ErrorKind.PLATFORM_UNKNOWN, "the answer can't be read") from exc
+            raise GatewayError(
+                ErrorKind.PLATFORM_UNKNOWN, "the response is not valid JSON"
+            ) from exc
         self._count(kind, "ok")
-        self._worked()
+        self._cancel_stale_polls()
         return status, reply if isinstance(reply, dict) else {}
 
     def _count(self, kind: str, outcome: str) -> None:
@@ -271,13 +278,13 @@
 
 
 def decode_item(raw: Mapping[str, Any]) -> KeyValue:
-    """Read one item; its value is base64."""
+    """Decode one item; its value is base64."""
     value = base64.b64decode(raw.get("value") or "")
     return KeyValue(raw["key"], value, int(raw["revision"]), int(raw.get("lease") or 0))
 
 
 def decode_batches(reply: Mapping[str, Any]) -> list[WatchBatch]:
-    """Read what a watch brought, one batch for each revision, and how far it has come."""
+    """Decode a poll's response: a batch per revision, the last one at the store's revision."""
     puts: dict[int, list[KeyValue]] = {}
     deletes: dict[int, list[str]] = {}
     for raw in reply.get("events") or ():
--- a/tests/platform/facts.feature
+++ b/tests/platform/decoding.feature
@@ -1,16 +1,16 @@
-Feature: the platform's entries and heads decoded once, into the product's own types
+Feature: store entries and HTTP heads are decoded into the gateway's types
 
-  Scenario: a whole configuration
-    Given the example configuration of the platform
+  Scenario: a complete configuration
+    Given the example configuration entry
     Then its version is 7 and it has 2 routes
-    And route "r-1" is "stream", resumable "False", of rank 0, in homes "dakar, thies"
-    And route "r-2" is "stream", resumable "True", of rank 1, in homes ""
-    And route "r-2" is split "a:90, b:10"
-    And the key "k1" leads to account "acc" with 100.0 tokens a second
-    And service "a" holds 1000 tokens and bears 2.6 a second while cold
+    And route "r-1" is "stream", resumable "False", rank 0, home regions "dakar, thies"
+    And route "r-2" is "stream", resumable "True", rank 1, home regions ""
+    And route "r-2" splits its traffic "a:90, b:10"
+    And the key "k1" belongs to account "acc" with 100.0 tokens per second
+    And service "a" caches 1000 tokens and takes 2.6 requests per second while cold
 
-  Scenario Outline: an entry of another writer names nothing to use
-    Then the entry "<key>" with value "<value>" is unreadable
+  Scenario Outline: a malformed entry of another writer is invalid
+    Then the entry "<key>" with value "<value>" is invalid
 
     Examples:
       | key       | value                                                                      |
@@ -24,8 +24,8 @@
       | op/config | {"version":"x"}                                                            |
       | op/other  | {}                                                                         |
 
-  Scenario Outline: heads of requests
-    Then header "<name>" with "<value>" makes a call with <field> "<found>"
+  Scenario Outline: request headers
+    Then a request with header "<name>" set to "<value>" has <field> "<found>"
 
     Examples:
       | name                                | value        | field         | found   |
@@ -41,8 +41,8 @@
       | Host                                | Shop.x:80    | host          | shop.x  |
       | Host                                | shop.x       | host          | shop.x  |
 
-  Scenario Outline: heads of answers
-    Then an answer <status> with "<headers>" has <field> "<found>"
+  Scenario Outline: response status and headers
+    Then a response <status> with "<headers>" has <field> "<found>"
 
     Examples:
       | status | headers                              | field       | found |
--- a/tests/steps/platform/platform_steps.py
+++ b/tests/steps/platform/platform_steps.py
@@ -7,9 +7,15 @@
 from behave import given, then, when
 
 from hickorybeam.errors import GatewayError
-from hickorybeam.http1 import ResponseHead, IncomingRequest
+from hickorybeam.http1 import IncomingRequest, ResponseHead
 from hickorybeam.model import key_digest
-from hickorybeam.platform import ConfigEntry, InvalidEntry, decode_response, decode_call, decode_entry
+from hickorybeam.platform import (
+    ConfigEntry,
+    InvalidEntry,
+    decode_call,
+    decode_entry,
+    decode_response,
+)
 from steps.store.contract_steps import kv_client, serve_kv
 
 EXAMPLE = {
@@ -51,27 +57,27 @@
 }
 
 
-@given("the example configuration of the platform")
+@given("the example configuration entry")
 def step_example(context):
     match decode_entry("op/config", msgspec.json.encode(EXAMPLE)):
         case ConfigEntry(config):
-            context.config_found = config
+            context.routing_config = config
         case other:
             raise AssertionError(other)
 
 
 @then("its version is {version:d} and it has {count:d} routes")
 def step_version(context, version, count):
-    found = context.config_found
+    found = context.routing_config
     assert (found.version, len(found.routes)) == (version, count)
 
 
 def route_of(context, name):
-    return next(it for it in context.config_found.routes if it.name == name)
+    return next(it for it in context.routing_config.routes if it.name == name)
 
 
-@then('route "{name}" is "{kind}", resumable "{resumable}", of rank {rank:d}, in homes "{homes}"')
-@then('route "{name}" is "{kind}", resumable "{resumable}", of rank {rank:d}, in homes ""')
+@then('route "{name}" is "{kind}", resumable "{resumable}", rank {rank:d}, home regions "{homes}"')
+@then('route "{name}" is "{kind}", resumable "{resumable}", rank {rank:d}, home regions ""')
 def step_route(context, name, kind, resumable, rank, homes=""):
     found = route_of(context, name)
     assert found.host == "x.example"
@@ -79,32 +85,34 @@
     assert ", ".join(sorted(found.homes)) == homes
 
 
-@then('route "{name}" is split "{split}"')
+@then('route "{name}" splits its traffic "{split}"')
 def step_split(context, name, split):
     targets = route_of(context, name).targets
     assert ", ".join(f"{it.service}:{it.weight:g}" for it in targets) == split
 
 
-@then('the key "{key}" leads to account "{name}" with {rate:g} tokens a second')
+@then('the key "{key}" belongs to account "{name}" with {rate:g} tokens per second')
 def step_key(context, key, name, rate):
-    found = context.config_found
+    found = context.routing_config
     assert found.keys[key_digest(key)] == name
     assert key not in found.keys
     assert found.accounts[name].rate_per_s == rate
 
 
-@then('service "{name}" holds {tokens:d} tokens and bears {per_s:g} a second while cold')
+@then(
+    'service "{name}" caches {tokens:d} tokens and takes {per_s:g} requests per second while cold'
+)
 def step_service(context, name, tokens, per_s):
-    found = context.config_found.services[name]
+    found = context.routing_config.services[name]
     assert (found.engine.cache_tokens, found.cold_per_s) == (tokens, per_s)
 
 
-@then('the entry "{key}" with value "{value}" is unreadable')
-def step_unreadable(context, key, value):
+@then('the entry "{key}" with value "{value}" is invalid')
+def step_invalid(context, key, value):
     assert isinstance(decode_entry(key, value.encode()), InvalidEntry)
 
 
-@then('header "{name}" with "{value}" makes a call with {field} "{found}"')
+@then('a request with header "{name}" set to "{value}" has {field} "{found}"')
 def step_header(context, name, value, field, found):
     headers = ((name.lower().encode(), value.encode()),)
     call = decode_call(
@@ -113,23 +121,23 @@
     assert str(getattr(call, field)) == found, getattr(call, field)
 
 
-@then('an answer {status:d} with "{headers}" has {field} "{found}"')
-@then('an answer {status:d} with "" has {field} "{found}"')
-def step_answer(context, status, field, found, headers=""):
+@then('a response {status:d} with "{headers}" has {field} "{found}"')
+@then('a response {status:d} with "" has {field} "{found}"')
+def step_response(context, status, field, found, headers=""):
     name, _, value = headers.partition(": ")
     raw = ((name.lower().encode(), value.encode()),) if headers else ()
-    facts = decode_response(ResponseHead(status, raw))
-    assert str(getattr(facts, field)) == found, getattr(facts, field)
+    info = decode_response(ResponseHead(status, raw))
+    assert str(getattr(info, field)) == found, getattr(info, field)
 
 
-@given("a served key-value store and its client")
+@given("a key-value store and its client")
 def step_served(context):
     context.app = serve_kv(context).app
     context.client = context.call(kv_client, context.served.url)
 
 
-@when("the key-value store answers every call with {status:d}")
-def step_turn_away(context, status):
+@when("the key-value store returns {status:d} for every call")
+def step_reject(context, status):
     context.app.turn_away = status
 
 
@@ -149,44 +157,44 @@
     assert not context.app.stand_in.store.read("a").items
 
 
-@when("the key-value client tries to read {count:d} times")
+@when("the key-value client attempts {count:d} reads")
 def step_try(context, count):
     for _ in range(count):
         assert outcome(context, context.client.read_prefix, "") == "platform_out"
 
 
-@then("the key-value store got at most {most:d} calls")
+@then("the key-value store received at most {most:d} calls")
 def step_calls(context, most):
     calls = context.client._calls.labels("range", "refused")._value.get()
     assert 0 < calls <= most, calls
 
 
-@when("the key-value client has read once and the store then falls silent")
-def step_once(context):
+@when("the key-value client has read once and then the store stops responding")
+def step_read_once(context):
     assert outcome(context, context.client.read, "a") == "done"
     context.opened = context.client._pool.opened
     context.app.silent = True
 
 
 @then("a key-value read fails")
-def step_fails(context):
+def step_read_fails(context):
     assert outcome(context, context.client.read, "a") == "platform_out"
 
 
-@when("the key-value store answers again")
-def step_again(context):
+@when("the key-value store responds again")
+def step_responds_again(context):
     context.app.silent = False
 
 
-@then("a key-value read works at once on a new connection")
-def step_works(context):
-    begun = time.monotonic()
+@then("a key-value read succeeds at once on a new connection")
+def step_read_succeeds(context):
+    started = time.monotonic()
     assert outcome(context, context.client.read, "a") == "done"
     assert context.client._pool.opened > context.opened
-    assert time.monotonic() - begun < 5
+    assert time.monotonic() - started < 5
 
 
-@given("the key-value store gives {count:d} items a page")
+@given("the key-value store returns {count:d} items per page")
 def step_page(context, count):
     context.app.page = count
 
@@ -202,7 +210,7 @@
 
 
 @then("the key-value client finds all {count:d} under their prefix, in order")
-def step_all(context, count):
+def step_all_keys(context, count):
     found = context.call(context.client.read_prefix, "p/")
     assert [it.key for it in found.items] == [f"p/{number}" for number in range(count)]
 
@@ -213,25 +221,25 @@
         context.app.put("other/1", b"x")
         return context.app.stand_in.store.revision
 
-    context.reached = context.call(write)
+    context.revision = context.call(write)
 
 
-@then("a quiet watch of the key-value store reaches that revision")
-def step_quiet_watch(context):
-    async def first():
-        # The stand-in answers a quiet watch after the time that the client asks it to wait.
+@then("a watch without changes reports that revision")
+def step_watch_without_changes(context):
+    async def first_batch():
+        # The stand-in holds a poll without changes for the time that the client asks for.
         with anyio.fail_after(10):
             async for batch in context.client.watch("mine/", after=1):
                 return batch
         return None
 
-    batch = context.call(first)
+    batch = context.call(first_batch)
     assert (batch.puts, batch.deletes) == ((), ())
-    assert batch.revision == context.reached
+    assert batch.revision == context.revision
 
 
-@given("the client's watch rests {ms:d} ms after a call that brought changes")
-def step_rest(context, ms):
+@given("the client's watch pauses {ms:d} ms after a poll that returned changes")
+def step_pause(context, ms):
     context.client.watch_rest_ms = ms
 
 
@@ -245,24 +253,24 @@
     context.call(change)
 
 
-@then("a watch from before them brings all {count:d} within {ms:d} ms")
+@then("a watch from before them yields all {count:d} within {ms:d} ms")
 def step_backlog(context, count, ms):
-    async def first():
+    async def follow_backlog():
         found = []
-        begun = time.monotonic()
+        started = time.monotonic()
         async for batch in context.client.watch("", after=context.before):
             found += [int(item.value) for item in batch.puts]
             if len(found) == count:
-                return found, time.monotonic() - begun
+                return found, time.monotonic() - started
         return found, 0
 
-    found, took = context.call(first)
+    found, took = context.call(follow_backlog)
     assert found == list(range(count))
     assert took < ms / 1000, took
 
 
-@given("a watch of the key-value store waits")
-def step_watch_waits(context):
+@given("a watch of the key-value store has a pending poll")
+def step_watch_pending(context):
     context.watch_end = None
 
     async def follow():
@@ -277,7 +285,7 @@
     context.call(anyio.sleep, 0.1)
 
 
-@then('the watch that waited ended with "{kind}"')
+@then('the watch ended with "{kind}"')
 def step_watch_ended(context, kind):
     context.call(anyio.sleep, 0.1)
     assert context.watch_end == kind, context.watch_end
@@ -289,7 +297,7 @@
         assert outcome(context, context.client.read, "a") == "done"
 
 
-@then("the watch still waits")
-def step_still_waits(context):
+@then("the watch is still pending")
+def step_still_pending(context):
     context.call(anyio.sleep, 0.1)
     assert context.watch_end is None, context.watch_end
