--- a/src/hickorybeam/http1/__init__.py
+++ b/src/hickorybeam/http1/__init__.py
@@ -1,8 +1,14 @@
-"""HTTP/1.1 on both sides of the gateway: callers' connections and those to other servers."""
+"""HTTP/1.1 on both sides of the gateway: server for callers, client for other servers."""
 
 from __future__ import annotations
 
-from hickorybeam.http1.head import ResponseHead, IncomingRequest, RawHeaders, find_header, framing_fault
+from hickorybeam.http1.head import (
+    IncomingRequest,
+    RawHeaders,
+    ResponseHead,
+    find_header,
+    has_ambiguous_framing,
+)
 from hickorybeam.http1.pool import ConnectFailedError, UpstreamPool
 from hickorybeam.http1.server import HttpServer, ResponseWriter
 from hickorybeam.http1.upstream import BrokenResponseError, UpstreamConnection
@@ -18,5 +24,5 @@
     "UpstreamConnection",
     "UpstreamPool",
     "find_header",
-    "framing_fault",
+    "has_ambiguous_framing",
 )
--- a/src/hickorybeam/http1/head.py
+++ b/src/hickorybeam/http1/head.py
@@ -1,4 +1,4 @@
-"""Heads of requests and answers, and how they are written."""
+"""Heads of requests and responses, and their encoding."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
     "RawHeaders",
     "response_head_bytes",
     "find_header",
-    "framing_fault",
+    "has_ambiguous_framing",
     "request_bytes",
 )
 
 RawHeaders = tuple[tuple[bytes, bytes], ...]
 
-# Framing is written anew on each hop; a value that came along would contradict it.
-FRAMING = frozenset({b"content-length", b"transfer-encoding", b"connection", b"keep-alive"})
+# Framing is set anew on each hop; a forwarded value would contradict it.
+FRAMING_HEADERS = frozenset({b"content-length", b"transfer-encoding", b"connection", b"keep-alive"})
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class IncomingRequest:
-    """A caller's whole request; ``arrived_ms`` is when its head was complete.
+    """A caller's complete request; ``arrived_ms`` is the time at which its head was complete.
 
-    Names of headers are in lower case.
+    Header names are in lower case.
     """
 
     method: str
@@ -37,25 +37,25 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseHead:
-    """Status and headers of an answer; names are in lower case."""
+    """Status and headers of a response; header names are in lower case."""
 
     status: int
     headers: RawHeaders
 
 
 def find_header(headers: RawHeaders, name: bytes) -> bytes | None:
-    """Return the first header of this name, in lower case, if there is one."""
+    """Return the value of the first header of this name (in lower case), or ``None``."""
     for key, value in headers:
         if key == name:
             return value
     return None
 
 
-def framing_fault(headers: RawHeaders) -> bool:
-    """Whether two readers could see different ends of this request's body.
+def has_ambiguous_framing(headers: RawHeaders) -> bool:
+    """Return whether two parsers could disagree on where this request's body ends.
 
-    A request with two framings lets a caller hide a second request in the body of the first,
-    which a backend server would then run unasked.
+    Such a request allows request smuggling: a caller hides a second request in the body of the
+    first, and a backend server runs it although the gateway never checked it.
     """
     lengths = {value for name, value in headers if name == b"content-length"}
     codings = [value.lower() for name, value in headers if name == b"transfer-encoding"]
@@ -65,26 +65,28 @@
 
 
 def request_bytes(method: str, target: bytes, headers: RawHeaders, body: bytes) -> bytes:
-    """Return a request as it goes over the wire, with a framing of its own."""
+    """Encode a request with new framing."""
     lines = [b"%s %s HTTP/1.1" % (method.encode("ascii"), target)]
-    lines += [b"%s: %s" % pair for pair in headers if pair[0] not in FRAMING]
+    lines += [b"%s: %s" % pair for pair in headers if pair[0] not in FRAMING_HEADERS]
     if body or method in ("POST", "PUT", "PATCH"):
         lines.append(b"content-length: %d" % len(body))
     return b"\r\n".join(lines) + b"\r\n\r\n" + body
 
 
-def response_head_bytes(status: int, headers: RawHeaders, *, length: int | None, close: bool) -> bytes:
-    """Return the head of an answer.
+def response_head_bytes(
+    status: int, headers: RawHeaders, *, length: int | None, close: bool
+) -> bytes:
+    """Encode the head of a response.
 
-    :param length: bytes of its body; ``None`` for a body in chunks.
-    :param close: the connection ends after it.
+    :param length: size of the body in bytes; ``None`` for a chunked body.
+    :param close: the connection closes after the response.
     """
     try:
-        phrase = HTTPStatus(status).phrase
+        reason = HTTPStatus(status).phrase
     except ValueError:
-        phrase = "Unknown"
-    lines = [b"HTTP/1.1 %d %s" % (status, phrase.encode("ascii"))]
-    lines += [b"%s: %s" % pair for pair in headers if pair[0] not in FRAMING]
+        reason = "Unknown"
+    lines = [b"HTTP/1.1 %d %s" % (status, reason.encode("ascii"))]
+    lines += [b"%s: %s" % pair for pair in headers if pair[0] not in FRAMING_HEADERS]
     if length is None:
         lines.append(b"transfer-encoding: chunked")
     else:
--- a/src/hickorybeam/http1/pool.py
+++ b/src/hickorybeam/http1/pool.py
@@ -1,4 +1,4 @@
-"""Connections to other servers, reused while young, with signs of life from the kernel."""
+"""Pool of connections to other servers, with TCP keep-alive and limited idle times."""
 
 from __future__ import annotations
 
@@ -19,26 +19,26 @@
 
 Address = tuple[str, int]
 
-# Idle connections are given up at this share of what the other end announces, so that it
-# does not close one just as a request is sent on it.
-SHARE_OF_KEEP_ALIVE = 0.7
-# Where nothing is announced, in ms.
-DEFAULT_IDLE_MS = 4_000
-# The kernel's probes end a connection whose other end fell silent after about 3 s, while
-# nothing is due to be sent and no byte would show it.
-KEEP_ALIVE_IDLE_S = 1
+# Share of the other end's announced idle timeout after which an idle connection is closed, so that
+# the other end does not close it just as a request is sent.
+KEEP_ALIVE_SHARE = 0.7
+# If the other end announces no idle timeout.
+DEFAULT_MAX_IDLE_MS = 4_000
+# TCP keep-alive ends a connection about 3 s after the other end went silent. Without it, nothing
+# would detect that while there is nothing to send.
+KEEP_ALIVE_PROBE_INTERVAL_S = 1
 KEEP_ALIVE_PROBES = 2
 
 
 class ConnectFailedError(Exception):
-    """No connection was made, so nothing was sent."""
+    """The connection could not be opened, so nothing was sent."""
 
 
 class UpstreamPool:
-    """Idle connections by address, the youngest reused first.
+    """Idle connections by address; the most recently used is reused first.
 
-    :param connect_ms: how long opening a connection may take.
-    :param silent_ms: sent bytes that stay unacknowledged for this long end a connection.
+    :param connect_ms: timeout of opening a connection.
+    :param silent_ms: a connection ends when sent bytes stay unacknowledged for this long.
     """
 
     def __init__(self, clock: Clock, *, connect_ms: int, silent_ms: int) -> None:
@@ -51,48 +51,48 @@
     async def acquire(
         self, address: Address, *, fresh: bool = False, connect_ms: int | None = None
     ) -> UpstreamConnection:
-        """Return a connection that nobody else uses.
+        """Return a connection for exclusive use.
 
-        :param fresh: open a new one even if there is an idle one.
+        :param fresh: open a new connection even if there is an idle one.
         :raises ConnectFailedError: it cannot be opened.
         """
         if not fresh:
-            conn = self._take_idle(address)
+            conn = self._acquire_idle(address)
             if conn is not None:
                 return conn
         return await self._open(address, connect_ms or self._connect_ms)
 
     def release(self, address: Address, conn: UpstreamConnection) -> None:
-        """Keep a connection whose answer was read to its proper end, or close it."""
-        if not conn.reusable or conn.lost:
+        """Keep a connection whose response was read completely; close any other."""
+        if not conn.reusable or conn.closed:
             conn.abort()
             return
         conn.idle_since_ms = self._clock.now()
         self._idle.setdefault(address, []).append(conn)
-        conn.on_lost = lambda lost: self._drop(address, lost)
+        conn.on_close = lambda closed: self._remove(address, closed)
 
     def close_idle(self, address: Address) -> None:
-        """Close every idle connection to a server that fell silent on one, or is gone."""
+        """Close all idle connections to a server that is unresponsive or gone."""
         for conn in self._idle.pop(address, ()):
-            conn.on_lost = None
+            conn.on_close = None
             conn.abort()
 
-    def _take_idle(self, address: Address) -> UpstreamConnection | None:
+    def _acquire_idle(self, address: Address) -> UpstreamConnection | None:
         idle = self._idle.get(address)
         while idle:
             conn = idle.pop()
-            conn.on_lost = None
-            if not conn.lost and self._clock.now() - conn.idle_since_ms < self._idle_ms(conn):
+            conn.on_close = None
+            if not conn.closed and self._clock.now() - conn.idle_since_ms < self._max_idle_ms(conn):
                 return conn
             conn.abort()
         return None
 
-    def _idle_ms(self, conn: UpstreamConnection) -> float:
+    def _max_idle_ms(self, conn: UpstreamConnection) -> float:
         if conn.keep_alive_s is None:
-            return DEFAULT_IDLE_MS
-        return conn.keep_alive_s * MS_PER_SECOND * SHARE_OF_KEEP_ALIVE
+            return DEFAULT_MAX_IDLE_MS
+        return conn.keep_alive_s * MS_PER_SECOND * KEEP_ALIVE_SHARE
 
-    def _drop(self, address: Address, conn: UpstreamConnection) -> None:
+    def _remove(self, address: Address, conn: UpstreamConnection) -> None:
         idle = self._idle.get(address, [])
         if conn in idle:
             idle.remove(conn)
@@ -109,7 +109,7 @@
         with contextlib.suppress(OSError):
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, self._silent_ms)
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEP_ALIVE_IDLE_S)
-            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEP_ALIVE_IDLE_S)
+            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEP_ALIVE_PROBE_INTERVAL_S)
+            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEP_ALIVE_PROBE_INTERVAL_S)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEP_ALIVE_PROBES)
         return conn
--- a/src/hickorybeam/http1/reply.py
+++ b/src/hickorybeam/http1/reply.py
@@ -1,4 +1,4 @@
-"""The answer to one request of a caller, as its handler writes it."""
+"""Writer of the response to one request, used by the request's handler."""
 
 from __future__ import annotations
 
@@ -18,12 +18,20 @@
 
 
 class ResponseWriter:
-    """The answer to one request: whole, or a head and chunks.
+    """Writes the response to one request: complete, or as a head and chunks.
 
-    Nothing is written after the caller has left; ``gone`` tells.
+    Writes nothing after the caller has disconnected; ``is_disconnected`` is set then.
     """
 
-    __slots__ = ("_close", "_conn", "_head_only", "_on_disconnect", "done", "gone", "started")
+    __slots__ = (
+        "_close",
+        "_conn",
+        "_head_only",
+        "_on_disconnect",
+        "done",
+        "is_disconnected",
+        "started",
+    )
 
     def __init__(self, conn: CallerConnection, *, close: bool, head_only: bool) -> None:
         self._conn = conn
@@ -32,22 +40,22 @@
         self._on_disconnect: Callable[[], None] | None = None
         self.started = False
         self.done = False
-        self.gone = False
+        self.is_disconnected = False
 
     def on_disconnect(self, callback: Callable[[], None] | None) -> None:
-        """Call back once when the caller leaves before its answer is complete."""
+        """Set the callback for a caller that disconnects before its response is complete."""
         self._on_disconnect = callback
-        if self.gone and callback is not None:
+        if self.is_disconnected and callback is not None:
             callback()
 
     def close_after(self) -> None:
-        """End the connection after this answer."""
+        """Close the connection after this response."""
         self._close = True
 
     def send(
         self, status: int, headers: RawHeaders = (), body: bytes = b"", *, close: bool = False
     ) -> None:
-        """Send a complete answer."""
+        """Send a complete response."""
         close = close or self._close or self._conn.server.closing
         head = response_head_bytes(status, headers, length=len(body), close=close)
         self.started = True
@@ -55,50 +63,50 @@
         self._finish(close=close)
 
     def start(self, status: int, headers: RawHeaders) -> None:
-        """Send the head of an answer whose body follows in chunks."""
+        """Send the head of a response whose body follows in chunks."""
         self._close = self._close or self._conn.server.closing
         self._conn.write(response_head_bytes(status, headers, length=None, close=self._close))
         self.started = True
 
     async def send_chunk(self, data: bytes) -> None:
-        """Send a part of the body, waiting while the caller is slow to take it."""
+        """Send a chunk of the body, and wait while the caller's buffer is full."""
         if data and not self._head_only:
             self._conn.write(b"%x\r\n%s\r\n" % (len(data), data))
-            await self._conn.flushed()
+            await self._conn.wait_writable()
 
     def end(self) -> None:
-        """Mark the proper end of the chunks."""
+        """Send the last chunk, which ends the body."""
         if not self._head_only:
             self._conn.write(LAST_CHUNK)
         self._finish(close=self._close)
 
     def abort(self) -> None:
-        """End the connection so that the answer cannot look complete."""
+        """Abort the connection, so that the response cannot look complete."""
         self.done = True
         self._conn.abort()
 
     def send_raw(self, data: bytes) -> None:
-        """Send bytes as they are; for stand-ins of servers that answer wrongly."""
+        """Send raw bytes; for stand-ins of servers with malformed responses."""
         self.started = True
         self._conn.write(data)
 
     def reset(self) -> None:
-        """End the connection with a reset; for stand-ins of servers that crash."""
+        """Reset the connection; for stand-ins of servers that crash."""
         self.done = True
         self._conn.reset()
 
     def end_by_close(self) -> None:
-        """End an answer by closing the connection in order."""
+        """End the response by closing the connection in order."""
         self._finish(close=True)
 
-    def lost(self) -> None:
-        """Take note that the connection has ended."""
-        if self.done or self.gone:
+    def connection_lost(self) -> None:
+        """Record that the connection has ended, and call the callback."""
+        if self.done or self.is_disconnected:
             return
-        self.gone = True
+        self.is_disconnected = True
         if self._on_disconnect is not None:
             self._on_disconnect()
 
     def _finish(self, *, close: bool) -> None:
         self.done = True
-        self._conn.answered(close=close)
+        self._conn.end_response(close=close)
--- a/src/hickorybeam/http1/server.py
+++ b/src/hickorybeam/http1/server.py
@@ -1,7 +1,7 @@
-"""Callers' connections: one request at a time on each, each answered by a handler's task.
+"""HTTP server for callers: one request at a time per connection, each handled in its own task.
 
-uvicorn's own connection hides whether a request was read before the close and cannot hold
-back its answer to a pipelined request, so its parser (httptools) is used directly.
+Uses uvicorn's parser (httptools) directly, as uvicorn's own protocol hides whether a request was
+read before the connection closed and cannot delay the response to a pipelined request.
 """
 
 from __future__ import annotations
@@ -17,7 +17,12 @@
 import httptools
 from absl import logging
 
-from hickorybeam.http1.head import IncomingRequest, response_head_bytes, find_header, framing_fault
+from hickorybeam.http1.head import (
+    IncomingRequest,
+    find_header,
+    has_ambiguous_framing,
+    response_head_bytes,
+)
 from hickorybeam.http1.reply import ResponseWriter
 from hickorybeam.model.routing import CallerLimits
 from hickorybeam.sockets import bind_socket
@@ -29,38 +34,38 @@
 
     from hickorybeam.clock import Clock
 
-    # Answers one request.
+    # Handles one request.
     Handler = Callable[[IncomingRequest, "ResponseWriter"], Awaitable[None]]
 
 __all__ = ("HttpServer", "ResponseWriter")
 
 BACKLOG = 2_048
-# How often idle and slow connections are looked over, in ms; a limit is noticed this late.
-SWEEP_EVERY_MS = 250
-# Bytes that a caller may send ahead of its answer before its connection is closed.
-MAX_AHEAD_BYTES = 262_144
-# An answer that the caller does not take is given up after this long without progress, in ms.
-STALL_MS = 5_000
+# Interval of the checks for idle and slow connections; a timeout is noticed up to this late.
+TIMEOUT_CHECK_INTERVAL_MS = 250
+# A connection is closed if the caller sends more than this before the current response is complete.
+MAX_PIPELINED_BYTES = 262_144
+# A connection is aborted if its caller does not read the response for this long.
+WRITE_STALL_TIMEOUT_MS = 5_000
 
 
 class CallerConnection(asyncio.Protocol):
-    """One caller's connection; the server's sweep enforces its time limits."""
+    """One caller's connection; the server's timeout check enforces its time limits."""
 
     def __init__(self, server: HttpServer) -> None:
         self.server = server
         self.reply: ResponseWriter | None = None
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpRequestParser(self)
-        self._ahead = b""
-        self._next: deque[tuple[IncomingRequest, bool]] = deque()
+        self._pipelined = b""
+        self._pending: deque[tuple[IncomingRequest, bool]] = deque()
         self._writable = anyio.Event()
         self._writable.set()
         self._stalled_since_ms: int | None = None
-        self._since_ms = server.clock.now()
+        self._state_since_ms = server.clock.now()
         self._in_request = False
-        self._reset()
+        self._reset_request()
 
-    def _reset(self) -> None:
+    def _reset_request(self) -> None:
         self._target = b""
         self._headers: list[tuple[bytes, bytes]] = []
         self._body: list[bytes] = []
@@ -69,34 +74,34 @@
         self._arrived_ms = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Register the connection."""
+        """Register the connection with the server."""
         self._transport = transport  # type: ignore[assignment]
         self.server.conns.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Tell the request that runs on it that nobody reads its answer any more."""
+        """Notify the request in progress that its caller has disconnected."""
         self.server.conns.discard(self)
         self._writable.set()
         if self.reply is not None:
-            self.reply.lost()
+            self.reply.connection_lost()
 
     def pause_writing(self) -> None:
-        """Hold chunks back while the caller does not read."""
+        """Stop sending chunks while the caller does not read."""
         self._writable = anyio.Event()
         self._stalled_since_ms = self.server.clock.now()
 
     def resume_writing(self) -> None:
-        """Let chunks go on."""
+        """Continue sending chunks."""
         self._stalled_since_ms = None
         self._writable.set()
 
     def data_received(self, data: bytes) -> None:
-        """Feed the parser, or keep the bytes until the answer under way is complete."""
+        """Feed the parser, or buffer the bytes until the current response is complete."""
         if self.closing:
             return
         if self.reply is not None:
-            self._ahead += data
-            if len(self._ahead) > MAX_AHEAD_BYTES:
+            self._pipelined += data
+            if len(self._pipelined) > MAX_PIPELINED_BYTES:
                 self.abort()
             return
         self._feed(data)
@@ -104,37 +109,37 @@
     def _feed(self, data: bytes) -> None:
         if not self._in_request:
             self._in_request = True
-            self._since_ms = self.server.clock.now()
+            self._state_since_ms = self.server.clock.now()
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserUpgrade, httptools.HttpParserError):
             if self.reply is None:
                 self.refuse(400)
             else:
-                # What follows a whole request is no request, or another protocol that the
-                # caller would like: the request's own answer is still due, and the last.
+                # The bytes after a complete request are no request, or ask for another protocol.
+                # The request itself still gets its response, as the last on the connection.
                 self.reply.close_after()
 
     def on_url(self, url: bytes) -> None:
-        """Take a part of the target."""
+        """Append to the request target."""
         self._target += url
         self._count_head(len(url))
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take one header."""
+        """Append one header."""
         self._headers.append((name.lower(), value))
         self._count_head(len(name) + len(value) + 4)
 
     def on_headers_complete(self) -> None:
-        """Check the head before any of the body is kept."""
+        """Check the head before any part of the body is stored."""
         self._arrived_ms = self.server.clock.now()
-        if framing_fault(tuple(self._headers)):
+        if has_ambiguous_framing(tuple(self._headers)):
             self.refuse(400)
         elif find_header(tuple(self._headers), b"expect") == b"100-continue":
             self.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, data: bytes) -> None:
-        """Take a part of the body."""
+        """Append to the body."""
         self._body_bytes += len(data)
         if self._body_bytes > self.server.limits().body_bytes:
             self.refuse(413)
@@ -142,7 +147,7 @@
         self._body.append(data)
 
     def on_message_complete(self) -> None:
-        """Hand the request to its task."""
+        """Start the request's task, or queue it behind the current request."""
         if self.closing:
             return
         method = self._parser.get_method().decode("ascii")
@@ -155,10 +160,10 @@
         )
         close = not self._parser.should_keep_alive()
         self._in_request = False
-        self._reset()
+        self._reset_request()
         if self.reply is not None:
-            # A second request in the same bytes: its answer must not overtake the first.
-            self._next.append((req, close))
+            # A pipelined request: its response must not overtake the current one.
+            self._pending.append((req, close))
             return
         self._start(req, close=close)
 
@@ -173,78 +178,83 @@
 
     @property
     def closing(self) -> bool:
-        """Whether nothing more is read or written."""
+        """Whether the connection is closing: nothing more is read or written."""
         return self._transport is None or self._transport.is_closing()
 
     def write(self, data: bytes) -> None:
-        """Write unless the caller has left."""
+        """Write unless the connection is closing."""
         if self._transport is not None and not self._transport.is_closing():
             self._transport.write(data)
 
-    async def flushed(self) -> None:
-        """Wait until the caller takes bytes again."""
+    async def wait_writable(self) -> None:
+        """Wait until the write buffer has room."""
         if not self._writable.is_set():
             await self._writable.wait()
 
-    def answered(self, *, close: bool) -> None:
-        """Go on to the next request, or end the connection."""
+    def end_response(self, *, close: bool) -> None:
+        """Start the next request, or close the connection."""
         self.reply = None
-        self._since_ms = self.server.clock.now()
+        self._state_since_ms = self.server.clock.now()
         if close:
             if self._transport is not None:
                 self._transport.close()
             return
-        if self._next:
-            req, close = self._next.popleft()
+        if self._pending:
+            req, close = self._pending.popleft()
             self._start(req, close=close)
-        elif self._ahead:
-            data, self._ahead = self._ahead, b""
+        elif self._pipelined:
+            data, self._pipelined = self._pipelined, b""
             self._feed(data)
 
     def refuse(self, status: int) -> None:
-        """Answer a request that cannot be read, and end the connection."""
+        """Send an error status for an invalid request and close the connection."""
         if self.closing:
             return
-        self.server.malformed(status)
+        self.server.on_malformed(status)
         self.write(response_head_bytes(status, (), length=0, close=True))
         if self._transport is not None:
             self._transport.close()
 
     def abort(self) -> None:
-        """End the connection at once."""
+        """Abort the connection."""
         if self._transport is not None:
             self._transport.abort()
 
     def reset(self) -> None:
-        """End the connection so that the other end sees an error and no proper end."""
+        """Reset the connection, so that the caller sees an error and no orderly close."""
         if self._transport is not None:
             sock = self._transport.get_extra_info("socket")
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             self._transport.abort()
 
     def close_if_idle(self) -> None:
-        """End a connection on which no request is being read or answered."""
+        """Close the connection unless a request is being read or handled."""
         if self.reply is None and not self._in_request and self._transport is not None:
             self._transport.close()
 
-    def sweep(self, now_ms: int, limits: CallerLimits) -> None:
-        """Enforce the limits in time: on idling, on sending a request, on taking an answer."""
-        if self._stalled_since_ms is not None and now_ms - self._stalled_since_ms > STALL_MS:
+    def check_timeouts(self, now_ms: int, limits: CallerLimits) -> None:
+        """Enforce the timeouts for idling, for sending a request and for reading a response."""
+        if (
+            self._stalled_since_ms is not None
+            and now_ms - self._stalled_since_ms > WRITE_STALL_TIMEOUT_MS
+        ):
             self.abort()
         elif self.reply is not None:
             return
         elif self._in_request:
-            if now_ms - self._since_ms > limits.header_ms:
+            if now_ms - self._state_since_ms > limits.header_ms:
                 self.refuse(408)
-        elif now_ms - self._since_ms > limits.idle_ms:
+        elif now_ms - self._state_since_ms > limits.idle_ms:
             self.close_if_idle()
 
 
 class HttpServer:
     """Listens on one address and starts a task for each request.
 
-    :param handler: answers one request; what it leaves unanswered ends its connection.
+    :param handler: handles one request; if it returns without a complete response, the connection
+        is aborted.
     :param limits: returns the limits in force.
+    :param on_malformed: called with the error status sent for each invalid request.
     """
 
     def __init__(
@@ -258,7 +268,7 @@
     ) -> None:
         self.clock = clock
         self.limits = limits
-        self.malformed = on_malformed
+        self.on_malformed = on_malformed
         self.conns: set[CallerConnection] = set()
         self.closing = False
         self.in_flight = 0
@@ -268,7 +278,7 @@
         self._server: asyncio.Server | None = None
 
     async def listen(self, host: str, port: int) -> None:
-        """Start to accept connections; port 0 takes a free one."""
+        """Start to accept connections; port 0 picks a free one."""
         await self.listen_on(bind_socket(host, port))
 
     async def listen_on(self, sock: socket.socket) -> None:
@@ -278,38 +288,38 @@
             lambda: CallerConnection(self), sock=sock, backlog=BACKLOG
         )
         self.port = sock.getsockname()[1]
-        self._tasks.start_soon(self._sweep)
+        self._tasks.start_soon(self._check_timeouts)
 
     def stop_accepting(self) -> None:
-        """Close the listening socket; open connections go on."""
+        """Close the listening socket; open connections continue."""
         if self._server is not None:
             self._server.close()
             self._server = None
 
     def close_idle(self) -> None:
-        """End every connection on which nothing is under way."""
+        """Close every connection without a request in progress."""
         for conn in tuple(self.conns):
             conn.close_if_idle()
 
     def spawn(self, req: IncomingRequest, reply: ResponseWriter) -> None:
-        """Start the task of one request."""
-        self._tasks.start_soon(self._answer, req, reply)
+        """Start the task that handles one request."""
+        self._tasks.start_soon(self._handle, req, reply)
 
-    async def _answer(self, req: IncomingRequest, reply: ResponseWriter) -> None:
+    async def _handle(self, req: IncomingRequest, reply: ResponseWriter) -> None:
         self.in_flight += 1
         try:
             await self._handler(req, reply)
         except Exception as exc:
-            logging.exception("a request's task failed: %s", exc)
+            logging.exception("request handler failed: %s", exc)
         finally:
             self.in_flight -= 1
             if not reply.done:
                 reply.abort()
 
-    async def _sweep(self) -> None:
+    async def _check_timeouts(self) -> None:
         while True:
-            await self.clock.sleep(SWEEP_EVERY_MS)
+            await self.clock.sleep(TIMEOUT_CHECK_INTERVAL_MS)
             now, limits = self.clock.now(), self.limits()
             for conn in tuple(self.conns):
                 with contextlib.suppress(OSError):
-                    conn.sweep(now, limits)
+                    conn.check_timeouts(now, limits)
--- a/src/hickorybeam/http1/upstream.py
+++ b/src/hickorybeam/http1/upstream.py
@@ -1,4 +1,4 @@
-"""One connection to another server: a request at a time, its answer matched by its id."""
+"""One connection to another server: one request at a time, its response matched by request id."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
 
 MAX_HEAD_BYTES = 65_536
 FIRST_FINAL_STATUS = 200
-BODILESS = (204, 304)
-# A reader that falls this far behind makes the other end wait.
+BODILESS_STATUSES = (204, 304)
+# Reading from the socket pauses while more than this is buffered.
 MAX_BUFFERED_BYTES = 1_048_576
 
 
 class BrokenResponseError(Exception):
-    """The answer did not come whole.
+    """The response is missing, malformed or incomplete.
 
-    :param sent: bytes of the request may have been read at the other end.
+    :param sent: the other end may have received bytes of the request.
     """
 
     def __init__(self, text: str, *, sent: bool = True) -> None:
@@ -37,98 +37,98 @@
 class UpstreamConnection(asyncio.Protocol):
     """A connection that carries one request after the other.
 
-    An answer that nobody asked for is never taken for the next one: bytes on an idle
-    connection, and bytes after the proper end, close it; an answer whose echoed id belongs to
-    another request is read over.
+    A response is never matched to the wrong request: bytes on an idle connection or after the end
+    of a response close the connection, and a response that echoes the id of another request is
+    skipped.
     """
 
     def __init__(self) -> None:
         self.reusable = False
         self.keep_alive_s: float | None = None
         self.idle_since_ms = 0
-        self.on_lost: Callable[[UpstreamConnection], None] | None = None
+        self.on_close: Callable[[UpstreamConnection], None] | None = None
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpResponseParser(self)
-        self._wake = anyio.Event()
-        self._lost = False
-        self._clean_end = False
-        self._busy = False
-        self._clear()
+        self._progress = anyio.Event()
+        self._closed = False
+        self._eof_received = False
+        self._awaiting_response = False
+        self._reset_response()
 
-    def _clear(self) -> None:
+    def _reset_response(self) -> None:
         self._head: ResponseHead | None = None
         self._headers: list[tuple[bytes, bytes]] = []
         self._head_bytes = 0
         self._chunks: deque[bytes] = deque()
         self._buffered = 0
-        self._whole = False
-        self._broken = ""
+        self._complete = False
+        self._failure = ""
         self._expected_id: tuple[bytes, bytes] | None = None
         self._head_only = False
         self._skipping = False
-        self._until_close = False
-        self.answer_began = False
+        self._ends_at_close = False
+        self.response_began = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         self._transport = transport  # type: ignore[assignment]
 
     def eof_received(self) -> bool:
-        """Take the other end's proper close."""
-        self._clean_end = True
+        """Record that the other end closed the connection in order."""
+        self._eof_received = True
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End the answer under way, and tell the pool."""
-        self._lost = True
+        """End the current response and notify the pool."""
+        self._closed = True
         self.reusable = False
-        if self._head is not None and self._until_close and self._clean_end and exc is None:
-            self._whole = True
-        elif not self._whole:
-            self._broken = self._broken or "connection ended"
-        self._wake.set()
-        if self.on_lost is not None:
-            self.on_lost(self)
+        if self._head is not None and self._ends_at_close and self._eof_received and exc is None:
+            self._complete = True
+        elif not self._complete:
+            self._failure = self._failure or "connection closed"
+        self._progress.set()
+        if self.on_close is not None:
+            self.on_close(self)
 
     def data_received(self, data: bytes) -> None:
-        """Feed the parser."""
-        if not self._busy or self._whole:
+        """Feed the parser; close the connection if no response is expected."""
+        if not self._awaiting_response or self._complete:
             self.reusable = False
             self.abort()
             return
-        self.answer_began = True
+        self.response_began = True
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as exc:
-            if not self._whole:
-                self._broken = f"not HTTP: {exc}"
+            if not self._complete:
+                self._failure = f"invalid HTTP: {exc}"
             self.abort()
-        self._wake.set()
+        self._progress.set()
 
     def on_message_begin(self) -> None:
-        """Start a head; one after the proper end makes the connection unfit for reuse."""
-        if self._whole:
+        """Start a head; one after the response's end makes the connection unfit for reuse."""
+        if self._complete:
             self.reusable = False
         self._headers = []
         self._head_bytes = 0
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take one header."""
+        """Append one header."""
         self._head_bytes += len(name) + len(value)
         if self._head_bytes > MAX_HEAD_BYTES:
-            raise httptools.HttpParserError("head too large")
+            raise httptools.HttpParserError("response head too large")
         self._headers.append((name.lower(), value))
 
     def on_headers_complete(self) -> None:
-        """Take the head, unless it is an interim one or belongs to another request."""
+        """Store the head, unless it is an interim one or belongs to another request."""
         status = self._parser.get_status_code()
-        if self._whole or status < FIRST_FINAL_STATUS:
+        if self._complete or status < FIRST_FINAL_STATUS:
             return
         headers = tuple(self._headers)
         if self._expected_id is not None:
             name, expected = self._expected_id
-            found = find_header(headers, name)
-            if found is not None and found != expected:
+            echoed = find_header(headers, name)
+            if echoed is not None and echoed != expected:
                 self._skipping = True
                 return
         self._skipping = False
@@ -137,11 +137,11 @@
         self.keep_alive_s = keep_alive_seconds(find_header(headers, b"keep-alive"))
         coding = find_header(headers, b"transfer-encoding")
         framed = coding is not None or find_header(headers, b"content-length") is not None
-        self._until_close = not framed and status not in BODILESS
+        self._ends_at_close = not framed and status not in BODILESS_STATUSES
 
     def on_body(self, data: bytes) -> None:
-        """Take a part of the body."""
-        if self._skipping or self._whole or self._head is None:
+        """Append to the body."""
+        if self._skipping or self._complete or self._head is None:
             return
         self._chunks.append(data)
         self._buffered += len(data)
@@ -149,49 +149,49 @@
             self._transport.pause_reading()
 
     def on_message_complete(self) -> None:
-        """Take the proper end."""
+        """Mark the response as complete."""
         if self._skipping:
             self._skipping = False
             return
-        if self._head is None or self._until_close or self._whole:
+        if self._head is None or self._ends_at_close or self._complete:
             return
-        self._whole = True
+        self._complete = True
         unsent = self._transport is not None and self._transport.get_write_buffer_size()
-        self.reusable = self._keep_alive and not unsent and not self._lost
+        self.reusable = self._keep_alive and not unsent and not self._closed
 
     def send(self, data: bytes, *, expected_id: tuple[bytes, bytes] | None = None) -> None:
         """Send a request.
 
-        :param expected_id: name and value of the header that the answer has to echo.
+        :param expected_id: name and value of the header that the response must echo.
         """
-        if self._lost or self._transport is None or self._transport.is_closing():
-            raise BrokenResponseError("connection ended before the request", sent=False)
-        self._clear()
+        if self._closed or self._transport is None or self._transport.is_closing():
+            raise BrokenResponseError("connection closed before the request", sent=False)
+        self._reset_response()
         self._parser = httptools.HttpResponseParser(self)
-        self._busy = True
+        self._awaiting_response = True
         self.reusable = False
         self._expected_id = expected_id
         self._transport.write(data)
 
     async def read_head(self) -> ResponseHead:
-        """Wait for the head of the answer.
+        """Wait for the head of the response.
 
-        :raises BrokenResponseError: it did not come.
+        :raises BrokenResponseError: it did not arrive.
         """
         while self._head is None:
-            await self._more()
+            await self._wait_for_data()
         return self._head
 
     async def read_chunk(self) -> bytes:
-        """Return the bytes of the body that have arrived, empty at its proper end.
+        """Wait for bytes of the body and return them; empty at its end.
 
         :raises BrokenResponseError: the body ended early.
         """
         while not self._chunks:
-            if self._whole:
-                self._busy = False
+            if self._complete:
+                self._awaiting_response = False
                 return b""
-            await self._more()
+            await self._wait_for_data()
         data = b"".join(self._chunks)
         self._chunks.clear()
         if self._buffered > MAX_BUFFERED_BYTES and self._transport is not None:
@@ -199,44 +199,44 @@
         self._buffered = 0
         return data
 
-    async def read_body(self, *, most: int = 64_000_000) -> bytes:
+    async def read_body(self, *, max_bytes: int = 64_000_000) -> bytes:
         """Read the rest of the body.
 
-        :raises BrokenResponseError: it ended early or is larger than ``most`` bytes.
+        :raises BrokenResponseError: it ended early or is larger than ``max_bytes``.
         """
         parts, size = [], 0
         while data := await self.read_chunk():
             parts.append(data)
             size += len(data)
-            if size > most:
+            if size > max_bytes:
                 self.abort()
-                raise BrokenResponseError("body too large")
+                raise BrokenResponseError("response body too large")
         return b"".join(parts)
 
-    async def _more(self) -> None:
-        if self._broken:
-            raise BrokenResponseError(self._broken)
-        if self._lost and not self._whole:
-            raise BrokenResponseError("connection ended")
-        self._wake = anyio.Event()
-        await self._wake.wait()
+    async def _wait_for_data(self) -> None:
+        if self._failure:
+            raise BrokenResponseError(self._failure)
+        if self._closed and not self._complete:
+            raise BrokenResponseError("connection closed")
+        self._progress = anyio.Event()
+        await self._progress.wait()
 
     @property
-    def lost(self) -> bool:
-        """Whether the connection has ended."""
-        return self._lost or self._transport is None or self._transport.is_closing()
+    def closed(self) -> bool:
+        """Whether the connection is closed or closing."""
+        return self._closed or self._transport is None or self._transport.is_closing()
 
     def abort(self) -> None:
-        """End the connection at once; what runs at the other end is cancelled by it."""
+        """Abort the connection, which cancels what runs at the other end."""
         self.reusable = False
         if self._transport is not None:
             self._transport.abort()
 
 
 def keep_alive_seconds(value: bytes | None) -> float | None:
-    """Return the idle timeout that the other end announces, if it does."""
+    """Return the idle timeout in a Keep-Alive header, in seconds, if it has one."""
     for part in (value or b"").split(b","):
-        name, _, figure = part.strip().partition(b"=")
-        if name.lower() == b"timeout" and figure.strip().isdigit():
-            return float(figure)
+        name, _, seconds = part.strip().partition(b"=")
+        if name.lower() == b"timeout" and seconds.strip().isdigit():
+            return float(seconds)
     return None
