--- a/src/hickorybeam/telemetry/__init__.py
+++ b/src/hickorybeam/telemetry/__init__.py
@@ -1,4 +1,4 @@
-"""Metrics and logs."""
+"""Metrics and logging."""
 
 from __future__ import annotations
 
--- a/src/hickorybeam/telemetry/counters.py
+++ b/src/hickorybeam/telemetry/counters.py
@@ -1,15 +1,15 @@
-"""Counters, histograms and gauges of one process, in a registry of its own.
+"""Counters, histograms and gauges of one gateway, in their own registry.
 
-A registry per process object, not the library's global one, lets several gateways live in
-one test process. Labels are closed lists or names from the configuration; never a key, a
-prompt, a request id or a caller's address.
+With a registry per object instead of the library's global one, several gateways can run in one test
+process. Label values are closed lists or names from the configuration, never a key, a prompt, a
+request id or a caller's address.
 """
 
 from __future__ import annotations
 
 from prometheus_client import CollectorRegistry, Counter, Gauge, Histogram, generate_latest
 
-from hickorybeam.telemetry.logs import lost_lines
+from hickorybeam.telemetry.logs import dropped_lines
 
 __all__ = ("Counters",)
 
@@ -17,17 +17,17 @@
 
 
 class Counters:
-    """Everything that one gateway counts; each service adds to the ones it is about."""
+    """All metrics of one gateway; each service creates its own in addition to the shared ones."""
 
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
         self.refusals = self.counter("refusals", "Requests refused", ("kind",))
         self.retries = self.counter("retries", "Calls sent again", ("reason",))
         self.requests = self.counter("requests", "Requests answered", ("kind", "outcome"))
-        lost = self.gauge(
+        dropped = self.gauge(
             "log_lines_lost", "Log lines dropped, since nobody read those before them"
         )
-        lost.set_function(lost_lines)
+        dropped.set_function(dropped_lines)
         self.position = self.gauge("config_position", "Position of the ticket log in force")
 
     def counter(self, name: str, text: str, labels: tuple[str, ...] = ()) -> Counter:
@@ -49,5 +49,5 @@
         )
 
     def text(self) -> bytes:
-        """Return everything in the exposition format."""
+        """Return all metrics in the Prometheus exposition format."""
         return generate_latest(self.registry)
--- a/src/hickorybeam/telemetry/decisions.py
+++ b/src/hickorybeam/telemetry/decisions.py
@@ -1,7 +1,7 @@
-"""One structured line for each decision, within a budget for each kind of line.
+"""Structured log of decisions, one line each, with a rate limit for each kind of event.
 
-Under load the lines themselves would cost the processor time that requests need; beyond the
-budget they are counted, and the next line of the kind tells how many were left out.
+Under load the lines would take the CPU time that requests need. Lines over the limit are counted,
+and the next line of that kind says how many were left out.
 """
 
 from __future__ import annotations
@@ -17,28 +17,28 @@
 
 __all__ = ("DecisionLog",)
 
-LINES_PER_S = 20
+MAX_LINES_PER_S = 20
 
 
 class DecisionLog:
-    """Writes decisions; never a key, a prompt or an answer."""
+    """Logs decisions; never a key, a prompt or a response."""
 
-    def __init__(self, clock: Clock, *, per_s: int = LINES_PER_S) -> None:
+    def __init__(self, clock: Clock, *, per_s: int = MAX_LINES_PER_S) -> None:
         self._clock = clock
-        self._per_s = per_s
-        self._budgets: dict[str, tuple[int, int, int]] = {}
+        self._max_per_s = per_s
+        self._windows: dict[str, tuple[int, int, int]] = {}
 
     @logging.skip_log_prefix
     def write(self, event: str, **fields: object) -> None:
-        """Write a line, or count it where there are too many of its kind."""
+        """Log an event, or count it if its kind is over the rate limit."""
         second = self._clock.now() // MS_PER_SECOND
-        since, written, dropped = self._budgets.get(event, (second, 0, 0))
-        if since != second:
-            since, written = second, 0
-        if written >= self._per_s:
-            self._budgets[event] = (since, written, dropped + 1)
+        window_s, written, dropped = self._windows.get(event, (second, 0, 0))
+        if window_s != second:
+            window_s, written = second, 0
+        if written >= self._max_per_s:
+            self._windows[event] = (window_s, written, dropped + 1)
             return
         if dropped:
             fields["left_out"] = dropped
-        self._budgets[event] = (since, written + 1, 0)
+        self._windows[event] = (window_s, written + 1, 0)
         logging.info(event, extra=fields)
--- a/src/hickorybeam/telemetry/log_lines.py
+++ b/src/hickorybeam/telemetry/log_lines.py
@@ -1,4 +1,4 @@
-"""How a log record becomes a line: flat fields in JSON for programs, or text for people."""
+"""Formatters of log records: flat JSON for programs, or text for people."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class JsonLines(MsgspecFormatter):
-    """One JSON object a line: ``time`` in s, ``level``, ``where``, ``event`` and its fields."""
+    """One JSON object per line: ``time`` in s, ``level``, ``where``, ``event`` and its fields."""
 
     def __init__(self) -> None:
         super().__init__(
@@ -26,7 +26,7 @@
         )
 
     def process_log_record(self, log_data: dict[str, Any]) -> dict[str, Any]:
-        """Return the record's fields as they are written."""
+        """Return the fields of the JSON object."""
         head = {
             "time": round(log_data.pop("created"), 3),
             "level": log_data.pop("levelname").lower(),
@@ -36,11 +36,11 @@
 
 
 class TextLines(logging.PythonFormatter):
-    """The library's own text line, with the event's fields behind it."""
+    """absl's text line, followed by the event's fields."""
 
     def format(self, record: std.LogRecord) -> str:
-        """Return the record as one line, or several where it carries an error."""
+        """Return the record as one line, or several if it has a traceback."""
         fields: dict[str, Any] = {}
         merge_record_extra(record, fields, reserved=RESERVED_ATTRS)
-        told = "".join(f" {name}={value}" for name, value in fields.items())
-        return f"{super().format(record)}{told}"
+        suffix = "".join(f" {name}={value}" for name, value in fields.items())
+        return f"{super().format(record)}{suffix}"
--- a/src/hickorybeam/telemetry/log_queue.py
+++ b/src/hickorybeam/telemetry/log_queue.py
@@ -1,6 +1,6 @@
-"""Log lines on their way out: a bounded queue and one thread that writes.
+"""Asynchronous log output: a bounded queue and one writer thread.
 
-Whoever logs never waits for whoever reads the lines. Written in the event loop's own thread, a
+Logging never waits for the reader of the lines. If the event loop's thread wrote them itself, a
 pipe that nobody reads would stop every request of the process.
 """
 
@@ -13,83 +13,84 @@
 
 __all__ = ("DescriptorHandler", "LineQueue", "LineWriter")
 
-# Some seconds of a busy VM's lines: 20 a second of each kind, at a few hundred bytes.
-MOST_WAITING = 1_000
+# Some seconds of a busy VM: 20 lines a second of each kind, at a few hundred bytes.
+MAX_QUEUED_LINES = 1_000
 
 
 class LineQueue(QueueHandler):
-    """Takes records without waiting; one that finds no room is counted and dropped.
+    """Queues records without waiting; a record that does not fit is dropped and counted.
 
-    The next record that finds room tells as ``lines_lost`` how many did not.
+    The next record that fits carries the number of those dropped before it as ``lines_lost``.
     """
 
-    def __init__(self, most: int = MOST_WAITING) -> None:
-        self.waiting: queue.Queue[std.LogRecord | None] = queue.Queue(most)
-        super().__init__(self.waiting)
-        self.lost = 0
-        self._untold = 0
+    def __init__(self, max_lines: int = MAX_QUEUED_LINES) -> None:
+        self.queued: queue.Queue[std.LogRecord | None] = queue.Queue(max_lines)
+        super().__init__(self.queued)
+        self.dropped = 0
+        self._unreported = 0
 
     def prepare(self, record: std.LogRecord) -> std.LogRecord:
-        """Fix the text now; the rest is left to the writer's thread."""
+        """Format the message now; the writer thread does the rest."""
         record.msg = record.getMessage()
         record.args = None
         return record
 
     def enqueue(self, record: std.LogRecord) -> None:
-        """Queue a record, or count it."""
-        if self._untold:
-            record.lines_lost = self._untold
+        """Queue a record, or drop and count it."""
+        if self._unreported:
+            record.lines_lost = self._unreported
         try:
-            self.waiting.put_nowait(record)
+            self.queued.put_nowait(record)
         except queue.Full:
-            self.lost += 1
-            self._untold += 1
+            self.dropped += 1
+            self._unreported += 1
         else:
-            self._untold = 0
+            self._unreported = 0
 
 
 class DescriptorHandler(std.Handler):
     """Writes lines to a file descriptor.
 
-    It goes past Python's own buffered streams: ending a process waits for these, and for a
-    handler's lock, while a write that nobody reads holds both.
+    Bypasses Python's buffered streams and the handler's lock: a blocked write would hold both, and
+    the end of the process waits for them.
     """
 
     def __init__(self, descriptor: int) -> None:
         super().__init__()
         self._descriptor = descriptor
 
-    def createLock(self) -> None:  # noqa: N802 - the library's name
-        """Have no lock: one thread writes."""
+    def createLock(self) -> None:  # noqa: N802 - defined by logging.Handler
+        """Create no lock, as only one thread writes."""
         self.lock = None
 
     def emit(self, record: std.LogRecord) -> None:
         """Write one record."""
-        left = memoryview(f"{self.format(record)}\n".encode())
-        while left:
-            left = left[os.write(self._descriptor, left) :]
+        remaining = memoryview(f"{self.format(record)}\n".encode())
+        while remaining:
+            remaining = remaining[os.write(self._descriptor, remaining) :]
 
 
 class LineWriter(QueueListener):
-    """The thread that writes what was queued."""
+    """The thread that writes queued records."""
 
     def __init__(self, lines: LineQueue, descriptor: int, formatter: std.Formatter) -> None:
         handler = DescriptorHandler(descriptor)
         handler.setFormatter(formatter)
-        super().__init__(lines.waiting, handler)
-        self._waiting = lines.waiting
+        super().__init__(lines.queued, handler)
+        self._queued = lines.queued
 
-    def finish(self, within_s: float) -> bool:
-        """Write what is queued, for no longer than this.
+    def finish(self, timeout_s: float) -> bool:
+        """Write what is queued and stop.
 
-        :return: whether all of it was written.
+        :param timeout_s: limit for each of two waits, for room in the queue and for the thread.
+        :return: whether everything was written.
         """
-        writer = self._thread
-        if writer is None:
+        thread = self._thread
+        if thread is None:
             return True
         try:
-            self._waiting.put(None, timeout=within_s)
+            self._queued.put(None, timeout=timeout_s)
         except queue.Full:
             return False
-        writer.join(within_s)
-        return not writer.is_alive()
+        thread.join(timeout_s)
+        return not thread.is_alive()
--- a/src/hickorybeam/telemetry/logs.py
+++ b/src/hickorybeam/telemetry/logs.py
@@ -1,4 +1,4 @@
-"""Logging of a whole process: level, format, and the queue that its lines go through."""
+"""Set-up of a process's logging: level, format, and the queue that its lines go through."""
 
 from __future__ import annotations
 
@@ -16,22 +16,22 @@
 
     from hickorybeam.settings import LogSettings
 
-__all__ = ("process_logging", "lost_lines")
+__all__ = ("process_logging", "dropped_lines")
 
-STANDARD_ERROR = 2
-# How long the end of the process waits for a reader of its last lines, in s.
-LAST_LINES_S = 0.5
+STDERR_FD = 2
+# How long the process waits at its end for its last lines to be read.
+FLUSH_TIMEOUT_S = 0.5
 
 
-def lost_lines() -> int:
-    """Return how many lines found no room, since nobody read those before them."""
-    return sum(it.lost for it in std.getLogger().handlers if isinstance(it, LineQueue))
+def dropped_lines() -> int:
+    """Return how many lines were dropped because the queue was full."""
+    return sum(it.dropped for it in std.getLogger().handlers if isinstance(it, LineQueue))
 
 
 @contextmanager
-def process_logging(cfg: LogSettings, *, descriptor: int = STANDARD_ERROR) -> Iterator[None]:
-    """Write this process's log lines, and its last ones before the end."""
-    # absl warns on each line until its flags are parsed; our settings take their place.
+def process_logging(cfg: LogSettings, *, descriptor: int = STDERR_FD) -> Iterator[None]:
+    """Write the process's log lines while the context is open, and the queued ones at its end."""
+    # absl warns on every line until its flags are parsed; the settings replace them.
     flags.FLAGS.mark_as_parsed()
     logging.set_verbosity(cfg.level)
     lines = LineQueue()
@@ -42,4 +42,4 @@
         yield
     finally:
         std.getLogger().removeHandler(lines)
-        writer.finish(LAST_LINES_S)
+        writer.finish(FLUSH_TIMEOUT_S)
--- a/tests/steps/telemetry/logs_steps.py
+++ b/tests/steps/telemetry/logs_steps.py
@@ -16,7 +16,7 @@
 from support.gateway import small_gateway
 
 QUIET_S = 0.3
-PIECE = 65_536
+READ_BYTES = 65_536
 
 
 @given("a process that logs to a pipe")
@@ -24,8 +24,10 @@
     context.read, write = os.pipe()
     context.stack.callback(os.close, context.read)
     context.stack.callback(os.close, write)
-    context.lines = context.stack.enter_context(ExitStack())
-    context.lines.enter_context(logs.process_logging(LogSettings(format="json"), descriptor=write))
+    context.logging = context.stack.enter_context(ExitStack())
+    context.logging.enter_context(
+        logs.process_logging(LogSettings(format="json"), descriptor=write)
+    )
     context.raw = b""
 
 
@@ -48,7 +50,7 @@
         logging.info("x" * size)
 
 
-@when("an error is logged with its trace")
+@when("an error is logged with its traceback")
 def step_error(context):
     try:
         _ = 1 / 0
@@ -57,22 +59,22 @@
 
 
 @when("the pipe is read until it is quiet, and one more line is logged")
-def step_read_on(context):
+def step_read_until_quiet(context):
     drain(context)
     context.logged += 1
     logging.info("one more")
     drain(context)
 
 
-@when("its lines are finished")
+@when("its logging ends")
 def step_finish(context):
-    context.lines.close()
+    context.logging.close()
     drain(context)
 
 
 @then('a line has event "{event}", request "{request}" and first_ms {first_ms:d}')
-def step_flat(context, event, request, first_ms):
-    (line,) = [it for it in told(context) if it["event"] == event]
+def step_decision_line(context, event, request, first_ms):
+    (line,) = [it for it in parsed_lines(context) if it["event"] == event]
     assert (line["request"], line["first_ms"]) == (request, first_ms), line
     assert line["level"] == "info" and line["where"].startswith("logs_steps.py:"), line
     assert abs(line["time"] - time.time()) < 60, line
@@ -84,47 +86,47 @@
     assert found.status == status, found
 
 
-@then("the last line is that one, and the lines tell together how many were lost")
-def step_lost(context):
-    lines = told(context)
+@then("the last line is that one, and the lines together report how many were dropped")
+def step_dropped(context):
+    lines = parsed_lines(context)
     assert lines[-1]["event"] == "one more", lines[-1]
-    context.lost = sum(it.get("lines_lost", 0) for it in lines)
-    assert context.lost > 0
+    context.dropped = sum(it.get("lines_lost", 0) for it in lines)
+    assert context.dropped > 0
 
 
-@then("the metric tells the same number")
-def step_lost_metric(context):
-    metric = f"hickorybeam_log_lines_lost {context.lost}.0".encode()
-    assert metric in Counters().text(), (metric, logs.lost_lines())
+@then("the metric has the same number")
+def step_dropped_metric(context):
+    metric = f"hickorybeam_log_lines_lost {context.dropped}.0".encode()
+    assert metric in Counters().text(), (metric, logs.dropped_lines())
 
 
-@then("as many lines came as were not lost")
-def step_came(context):
-    assert len(told(context)) == context.logged - context.lost
+@then("every line that was not dropped arrived")
+def step_rest_arrived(context):
+    assert len(parsed_lines(context)) == context.logged - context.dropped
 
 
-@then("{count:d} lines came")
+@then("{count:d} lines arrived")
 def step_count(context, count):
-    assert len(told(context)) == count
+    assert len(parsed_lines(context)) == count
 
 
-@then("its lines are given up within {ms:d} ms")
-def step_given_up(context, ms):
-    began = time.monotonic()
-    context.lines.close()
-    assert (time.monotonic() - began) * 1000 < ms
+@then("its logging ends within {ms:d} ms")
+def step_ends_within(context, ms):
+    started = time.monotonic()
+    context.logging.close()
+    assert (time.monotonic() - started) * 1000 < ms
 
 
 @then('a line has event "{event}" and an error that names "{name}"')
-def step_trace(context, event, name):
-    (line,) = [it for it in told(context) if it["event"] == event]
+def step_traceback(context, event, name):
+    (line,) = [it for it in parsed_lines(context) if it["event"] == event]
     assert name in line["error"]
 
 
 def drain(context):
     while select.select([context.read], [], [], QUIET_S)[0]:
-        context.raw += os.read(context.read, PIECE)
+        context.raw += os.read(context.read, READ_BYTES)
 
 
-def told(context):
+def parsed_lines(context):
     return [json.loads(line) for line in context.raw.splitlines()]
