--- a/src/hickorybeam/settings/__init__.py
+++ b/src/hickorybeam/settings/__init__.py
@@ -1,4 +1,4 @@
-"""Settings of one daemon: JSON with comments, checked into frozen data classes."""
+"""Settings of one daemon: JSON with comments, decoded into frozen data classes and checked."""
 
 from __future__ import annotations
 
--- a/src/hickorybeam/settings/checks.py
+++ b/src/hickorybeam/settings/checks.py
@@ -1,4 +1,4 @@
-"""Faults in settings that types alone cannot show."""
+"""Checks of settings for faults that type checks cannot find."""
 
 from __future__ import annotations
 
@@ -19,28 +19,28 @@
 LOG_LEVELS = ("debug", "info", "warning", "error")
 MAX_PORT = 65_535
 
-# 0 has a meaning for these ("no bound"); for every other duration or size it is a fault.
+# 0 means "no limit" for these; for every other duration or size it is a fault.
 ZERO_ALLOWED = frozenset({"config.stale_after_ms"})
 
 
 def check_settings(cfg: Settings) -> tuple[Fault, ...]:
-    """Return every fault of value or combination."""
+    """Return every invalid value or combination of values."""
     return (
-        *_positive(cfg, ""),
-        *_choices(cfg),
+        *_sizes_and_durations(cfg, ""),
+        *_choices_and_names(cfg),
         *_ports(cfg),
-        *_transport(cfg),
-        *_timing(cfg),
+        *_tls(cfg),
+        *_timeouts(cfg),
         *_gateway(cfg),
     )
 
 
-def _positive(section: object, key: str) -> Iterator[Fault]:
+def _sizes_and_durations(section: object, key: str) -> Iterator[Fault]:
     for field in fields(section):  # type: ignore[arg-type]
         value = getattr(section, field.name)
         path = f"{key}.{field.name}" if key else field.name
         if is_dataclass(value):
-            yield from _positive(value, path)
+            yield from _sizes_and_durations(value, path)
         elif field.name.endswith(("_ms", "_bytes", "_per_s")) and path not in ZERO_ALLOWED:
             if value <= 0:
                 yield Fault(path, "a number above 0", repr(value))
@@ -48,7 +48,7 @@
             yield Fault(path, "0 or a number above it", repr(value))
 
 
-def _choices(cfg: Settings) -> Iterator[Fault]:
+def _choices_and_names(cfg: Settings) -> Iterator[Fault]:
     for key, value, allowed in (
         ("load.profile", cfg.load.profile, PROFILES),
         ("log.format", cfg.log.format, LOG_FORMATS),
@@ -80,7 +80,7 @@
         yield Fault("vm.peer_port", "a port other than vm.http_port", repr(cfg.vm.peer_port))
 
 
-def _transport(cfg: Settings) -> Iterator[Fault]:
+def _tls(cfg: Settings) -> Iterator[Fault]:
     tls = cfg.peers.tls
     files = {"ca_file": tls.ca_file, "cert_file": tls.cert_file, "key_file": tls.key_file}
     if tls.plain:
@@ -93,15 +93,15 @@
             yield Fault(f"peers.tls.{name}", "a file, or peers.tls.plain set to true", "nothing")
 
 
-def _timing(cfg: Settings) -> Iterator[Fault]:
-    # A peer that misses one heartbeat is not silent: two must fit into the limit.
+def _timeouts(cfg: Settings) -> Iterator[Fault]:
+    # Two heartbeats must fit into the limit: a peer that misses one is not silent.
     if cfg.peers.silent_after_ms < 2 * cfg.peers.heartbeat_ms:
         yield Fault(
             "peers.silent_after_ms",
             f"at least twice peers.heartbeat_ms ({2 * cfg.peers.heartbeat_ms})",
             repr(cfg.peers.silent_after_ms),
         )
-    # A holder must be able to fail one order and still know whether its lease holds.
+    # The lease holder must be able to fail one order and still know whether its lease is valid.
     if cfg.control.lease_ms < 2 * cfg.control.order_timeout_ms:
         yield Fault(
             "control.lease_ms",
@@ -133,6 +133,6 @@
 
 
 def is_address(text: str) -> bool:
-    """Whether a text is ``host:port``."""
+    """Return whether a text is ``host:port``."""
     host, _, port = text.rpartition(":")
     return bool(host) and port.isdigit() and int(port) <= MAX_PORT
--- a/src/hickorybeam/settings/load.py
+++ b/src/hickorybeam/settings/load.py
@@ -1,4 +1,4 @@
-"""Read settings and other operator files written in JSON with comments."""
+"""Load settings and other operator files written in JSON with comments."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
 
 
 def load_settings(path: str | Path) -> Settings:
-    """Read and check a settings file.
+    """Load and check a settings file.
 
     :param path: a file in JSON with comments.
-    :return: the settings; raises ``SETTINGS_INVALID`` with every fault at once.
+    :raises GatewayError: ``SETTINGS_INVALID`` with every fault.
     """
     return load_file(Settings, path, kind=ErrorKind.SETTINGS_INVALID, check=check_settings)
 
@@ -36,10 +36,10 @@
     kind: ErrorKind,
     check: Callable[[T], tuple[Fault, ...]] = lambda _: (),
 ) -> T:
-    """Read a file in JSON with comments into a data class.
+    """Load a file in JSON with comments into a data class.
 
-    :param kind: the error kind raised when the file has faults.
-    :param check: finds faults that types cannot show.
+    :param kind: the error kind raised if the file has faults.
+    :param check: returns the faults that type checks cannot find.
     """
     try:
         raw = json5.loads(Path(path).read_text(encoding="utf-8"))
--- a/src/hickorybeam/settings/types.py
+++ b/src/hickorybeam/settings/types.py
@@ -1,4 +1,4 @@
-"""The settings of one daemon. Every field has a default or is required; times are in ms."""
+"""The settings of one daemon; fields without a default are required."""
 
 from __future__ import annotations
 
@@ -24,9 +24,9 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class VmSettings:
-    """Who this entry VM is and where it listens; port 0 takes a free one.
+    """Identity of this entry VM and the addresses that it listens on; port 0 picks a free one.
 
-    It has ``core_share`` of a core that is ``core_speed`` times as fast as the usual one.
+    It has ``core_share`` of a core that is ``core_speed`` times as fast as a standard core.
     """
 
     name: str
@@ -40,13 +40,13 @@
 
     @property
     def power(self) -> float:
-        """Its processor, in usual cores."""
+        """CPU capacity in standard cores."""
         return self.core_share * self.core_speed
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PlatformSettings:
-    """How to reach the platform's key-value service; ``prefix`` is ours within it."""
+    """How to reach the platform's key-value service; the gateway's keys begin with ``prefix``."""
 
     urls: tuple[str, ...]
     prefix: str = "/hickorybeam/"
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class TlsSettings:
-    """Mutual authentication between VMs; ``plain`` must be said to go without."""
+    """Mutual TLS between VMs; ``plain`` must be set explicitly to go without."""
 
     plain: bool = False
     ca_file: str = ""
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RouteSettings:
-    """Reach a peer's advertised address by another one, as behind address translation.
+    """Connect to ``via`` instead of a peer's advertised ``address``, for instance through NAT.
 
     Both are ``host:port``.
     """
@@ -77,7 +77,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PeerSettings:
-    """Talk between entry VMs."""
+    """Communication between entry VMs."""
 
     seeds: tuple[str, ...] = ()
     heartbeat_ms: int = 500
@@ -91,8 +91,8 @@
 class ConfigSettings:
     """Change tickets.
 
-    ``stale_after_ms`` bounds how long a VM serves that can learn of no withdrawn key, from
-    platform or peer; 0 lets it serve for ever.
+    ``stale_after_ms`` is how long a VM serves while neither the platform nor a peer can tell it of
+    revoked keys; 0 means no limit.
     """
 
     read_back_ms: int = 2_000
@@ -104,9 +104,9 @@
 class FrontSettings:
     """Limits towards callers.
 
-    ``operator_keys`` are digests of keys that may call the operator interface whatever the
-    tickets say: the first ticket is submitted with one, and so is the ticket that mends a
-    configuration without operators.
+    ``operator_keys`` are digests of keys that may always call the operator interface, whatever
+    the tickets say. They are needed to submit the first ticket, and to repair a configuration
+    without operators.
     """
 
     operator_keys: tuple[str, ...] = ()
@@ -135,7 +135,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ShareSettings:
-    """Shares of each account's rate and burst."""
+    """VMs' shares of each account's rate and burst."""
 
     groups: int = 16
     floor: float = 0.05
@@ -146,7 +146,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LoadSettings:
-    """The policy profile: ``cheap`` weighs cost and the worst-served, ``fast`` tail latency."""
+    """The policy: ``cheap`` favours cost and the worst-served account, ``fast`` tail latency."""
 
     profile: str = "cheap"
     max_wait_ms: int = 10_000
@@ -156,8 +156,8 @@
 class ControlSettings:
     """Orders to engines.
 
-    An engine that wanted no order is read again after ``settled_ms``, or when a ticket is in
-    force; until then a restart that lost its models goes unnoticed here.
+    An engine that needed no order is checked again after ``settled_ms``, or when a ticket comes
+    into force; until then, a restart that lost its models goes unnoticed here.
     """
 
     enabled: bool = True
@@ -170,7 +170,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LogSettings:
-    """``format`` is ``text`` or ``json`` (one object per line)."""
+    """Logging; ``format`` is ``text`` or ``json`` (one object per line)."""
 
     format: str = "text"
     level: str = "info"
@@ -180,13 +180,13 @@
 class GatewaySettings:
     """A VM whose configuration and backend servers come from the platform's store.
 
-    Addresses are ``host:port``: ``callers`` for requests, ``ready`` tells whether it takes
-    them, ``directory`` tells callers which VMs to use, ``state`` tells VMs that cannot reach the
-    store what this one knows; ``seeds`` are such addresses of others. ``regions`` leads from
-    data centres to their regions. ``grace_s`` is how long a shutdown may take, in seconds.
-    Repeats are bounded, over all VMs and in each ``repeat_window_s``, to ``repeat_ratio`` of the
-    requests and ``repeat_allowance`` besides. ``quota_allowance`` is what an account may
-    spend beyond its rate and burst in any window, over all VMs.
+    Addresses are ``host:port``: ``callers`` for requests, ``ready`` for the readiness check,
+    ``directory`` for callers that look up VMs, ``state`` for VMs that cannot reach the store and
+    copy this one's state; ``seeds`` are ``state`` addresses of other VMs. ``regions`` maps data
+    centres to regions. ``grace_s`` is the time limit of a shutdown, in seconds. Over all VMs and in
+    each ``repeat_window_s``, retries are limited to ``repeat_ratio`` of the requests plus
+    ``repeat_allowance``. ``quota_allowance`` is what an account may spend over all VMs beyond its
+    rate and burst in any window.
     """
 
     callers: str = "127.0.0.1:0"
@@ -204,7 +204,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Settings:
-    """Everything one daemon is told at its start."""
+    """All settings of one daemon, read at its start."""
 
     vm: VmSettings
     platform: PlatformSettings
--- a/tests/settings/load.feature
+++ b/tests/settings/load.feature
@@ -1,4 +1,4 @@
-Feature: settings in JSON with comments, every fault named at once
+Feature: settings in JSON with comments, all faults reported at once
 
   Background:
     Given a settings file
@@ -11,11 +11,11 @@
       }
       """
 
-  Scenario: comments are allowed and defaults filled in
+  Scenario: comments are allowed and defaults are filled in
     Then the settings load with "vm.name" as "dk-1"
     And the settings load with "config.read_back_ms" as "2000"
 
-  Scenario Outline: a fault names the file, the key, what was expected and what was found
+  Scenario Outline: a fault gives the file, the key, the expected and the found value
     When the settings file has "<old>" replaced by "<new>"
     Then loading the settings reports exactly "<fault>"
 
@@ -38,10 +38,10 @@
       | peers: {       | gateway: {repeat_ratio: -1}, peers: {     | gateway.repeat_ratio: expected 0 or a number above it, found -1.0        |
       | peers: {       | gateway: {regions: {"x": "y"}}, peers: {  | gateway.regions: expected a region for 'dk-a', found none                |
 
-  Scenario: several faults come in one report
+  Scenario: several faults are reported together
     When the settings file has "name: "dk-1", region: "dakar-plateau"" replaced by "regoin: 3"
     Then loading the settings reports 3 faults
 
-  Scenario: a file that is not JSON is one clear fault
+  Scenario: a file that is not JSON is reported as one fault
     When the settings file has "{" replaced by "["
     Then loading the settings reports 1 faults
