--- a/src/hickorybeam/model/__init__.py
+++ b/src/hickorybeam/model/__init__.py
@@ -1,8 +1,7 @@
-"""Frozen data classes that every part shares; nothing here does I/O."""
+"""Frozen data classes shared by all packages; nothing here does I/O."""
 
 from __future__ import annotations
 
-from hickorybeam.model.responses import ResponseChunk, ResponseEnd, ResponseHead, ResponsePart, Usage
 from hickorybeam.model.calls import Call, CallKind, Header
 from hickorybeam.model.config import (
     BackendKind,
@@ -21,11 +20,18 @@
     ref_of,
 )
 from hickorybeam.model.fleet import EntryVm, LoadReport, RegionLoad, VmId, VmState
+from hickorybeam.model.responses import (
+    ResponseChunk,
+    ResponseEnd,
+    ResponseHead,
+    ResponsePart,
+    Usage,
+)
 from hickorybeam.model.state import ConfigState, Versioned
 from hickorybeam.model.ticket import ChangeTicket
 
 __all__ = (
-    # what operators configure
+    # configured by operators
     "BackendKind",
     "BackendServer",
     "ChangeTicket",
@@ -43,7 +49,7 @@
     "Versioned",
     "key_digest",
     "ref_of",
-    # what runs
+    # requests and running VMs
     "ResponseChunk",
     "ResponseEnd",
     "ResponseHead",
--- a/src/hickorybeam/model/calls.py
+++ b/src/hickorybeam/model/calls.py
@@ -1,4 +1,4 @@
-"""A caller's request as it travels inside the gateway."""
+"""A caller's request as passed on inside the gateway."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class CallKind(Enum):
-    """What a call asks of a backend server."""
+    """The kind of work that a call asks of a backend server."""
 
     CHAT = "chat"
     COMPLETION = "completion"
@@ -23,11 +23,11 @@
     """One authenticated request. It carries the account's name and never the caller's key.
 
     ``served`` is the model or plain service. ``cost`` is the tokens taken at admission
-    (estimated prompt plus maximum output). ``deadline_ms`` is what was left on arrival, a
-    duration, so that it survives a hop between clocks. ``position`` is the log position that
-    the sender acted on. ``hops`` is 1 when a peer forwarded the call. ``key_digest`` lets the
-    executor end the stream of a key withdrawn meanwhile. ``prefix`` is a digest of the
-    prompt's start, for affinity.
+    (estimated prompt plus maximum output). ``deadline_ms`` is the time remaining on arrival, a
+    duration, so that it stays valid on a VM with another clock. ``position`` is the log position
+    of the sender's configuration. ``hops`` is 1 if a peer forwarded the call. ``key_digest`` lets
+    the VM that runs the call end its stream if the key is revoked meanwhile. ``prefix`` is a digest
+    of the prompt's start, for cache affinity.
     """
 
     request_id: str
--- a/src/hickorybeam/model/config.py
+++ b/src/hickorybeam/model/config.py
@@ -1,4 +1,4 @@
-"""Objects that operators set by change ticket."""
+"""Configuration objects that operators set by change ticket."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class ObjectKind(Enum):
-    """The kinds of object; the value is the ticket's field that holds them."""
+    """The kinds of objects; the value is the field of the ticket that holds them."""
 
     REGION = "regions"
     RESIDENCY = "residency_rules"
@@ -38,7 +38,7 @@
 
 
 class BackendKind(Enum):
-    """What a backend server speaks."""
+    """The protocol of a backend server."""
 
     ENGINE = "engine"
     PLAIN = "plain"
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Region:
-    """A region and what serving there costs.
+    """A region and its price.
 
     ``cost`` is the price of a thousand tokens in the operator's currency.
     """
@@ -68,7 +68,7 @@
 class ClientAccount:
     """A tenant of the gateway.
 
-    ``rate`` is tokens a second and ``burst`` tokens, both summed over all entry VMs.
+    ``rate`` is in tokens per second and ``burst`` in tokens, both summed over all entry VMs.
     ``residency`` names a rule; ``None`` lets every region serve the account. An empty
     ``models`` or ``services`` allows all.
     """
@@ -85,9 +85,9 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ClientKey:
-    """A caller's key; only its digest is ever kept.
+    """A caller's key; only its digest is stored.
 
-    ``name`` is the digest given by :func:`key_digest`; a deleted key is a withdrawn one.
+    ``name`` is the digest returned by :func:`key_digest`. Deleting a key revokes it.
     """
 
     name: str
@@ -99,8 +99,8 @@
 class ModelService:
     """A model that engines serve, and the regions in which it is placed.
 
-    ``adapter_of`` names the base model when this is an adapter. ``min_engines`` is kept for
-    each region of the placement; ``weight_bytes`` is what loading it takes from the store.
+    ``adapter_of`` names the base model if this is an adapter. ``min_engines`` applies to each of
+    these regions; ``weight_bytes`` is what loading the model reads from the weight store.
     """
 
     name: str
@@ -115,8 +115,8 @@
 class PlainService:
     """A plain HTTP service beside the engines.
 
-    ``non_idempotent`` lists methods that may run at most once. ``cost`` is what one call
-    takes from the account, in tokens.
+    ``non_idempotent`` lists the methods that may run at most once. ``cost`` is the tokens that
+    one call takes from the account.
     """
 
     name: str
@@ -128,11 +128,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ServiceRoute:
-    """Requests of one host under a path prefix, which go to a plain service as they are.
+    """Requests of one host under a path prefix, which go unchanged to a plain service.
 
-    ``prefix`` begins and ends with a slash; the longest one that begins a path wins.
-    ``idempotent`` tells whether they may be repeated; ``None`` leaves it to the method, as the
-    service says. ``timeout_ms`` 0 is the service's own.
+    ``prefix`` begins and ends with a slash; the longest matching one applies. ``idempotent`` tells
+    whether the requests may be retried; ``None`` decides by method, as the service declares.
+    ``timeout_ms`` 0 means the service's own timeout.
     """
 
     name: str
@@ -145,11 +145,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class BackendServer:
-    """One backend server as its operator declares it.
+    """One backend server as declared by its operator.
 
-    ``serves`` names models (engine) or services (plain). ``slots`` is how many requests it
-    takes at once and ``tokens_per_s`` its rated output. ``role`` is what an engine
-    is ordered to be (empty: as it is). ``leaving`` asks for no new work.
+    ``serves`` names models (engine) or services (plain). ``slots`` is the number of concurrent
+    requests and ``tokens_per_s`` the rated output. ``role`` is the role that an engine is ordered
+    to take (empty: no order). A ``leaving`` one gets no new work.
     """
 
     name: str
@@ -191,7 +191,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class ObjectRef:
-    """The name of one object, whether it exists or was deleted."""
+    """Kind and name of one object, existing or deleted."""
 
     kind: str
     name: str
@@ -203,5 +203,5 @@
 
 
 def key_digest(secret: str) -> str:
-    """Return the digest under which a caller's key is configured."""
+    """Return the digest by which a caller's key is configured."""
     return hashlib.sha256(secret.encode()).hexdigest()
--- a/src/hickorybeam/model/fleet.py
+++ b/src/hickorybeam/model/fleet.py
@@ -1,4 +1,4 @@
-"""Entry VMs, their identity and what they report of themselves."""
+"""Entry VMs, their identity and their load reports."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class VmState(Enum):
-    """Where an entry VM stands in its life."""
+    """Lifecycle state of an entry VM."""
 
     JOINING = "joining"
     SERVING = "serving"
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class VmId:
-    """One life of one entry VM; a restart has a new incarnation."""
+    """Identity of one entry VM; every restart has a new incarnation."""
 
     name: str
     incarnation: str
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class EntryVm:
-    """How callers and peers reach one entry VM."""
+    """Addresses and state of one entry VM."""
 
     id: VmId
     region: str
@@ -38,15 +38,15 @@
 
     @property
     def http_address(self) -> str:
-        """The address given to callers."""
+        """The base URL given to callers."""
         return f"http://{self.host}:{self.http_port}"
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LoadReport:
-    """What one backend server last said of its load.
+    """The latest load report of one backend server.
 
-    ``at_ms`` is the reader's monotonic time of arrival, ``lag_ms`` how old the figures were.
+    ``at_ms`` is its arrival on the receiver's monotonic clock, ``lag_ms`` its age on arrival.
     """
 
     backend: str
@@ -61,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RegionLoad:
-    """Summary of one region for one model or service, as its VMs forecast it."""
+    """Load forecast of one region for one model or service, made by the region's VMs."""
 
     region: str
     served: str
--- a/src/hickorybeam/model/responses.py
+++ b/src/hickorybeam/model/responses.py
@@ -1,4 +1,4 @@
-"""The parts of an answer, in the order in which they reach the caller."""
+"""The parts of a response, in the order in which they reach the caller."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Usage:
-    """Tokens that a request really took, as the engine counts them."""
+    """Tokens that a request actually used, as counted by the engine."""
 
     prompt_tokens: int = 0
     completion_tokens: int = 0
 
     @property
     def total(self) -> int:
-        """Tokens to settle against the account."""
+        """Tokens charged to the account."""
         return self.prompt_tokens + self.completion_tokens
 
 
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseChunk:
-    """Bytes of the body as the backend server sent them; ``tokens`` counts those within."""
+    """Bytes of the body as the backend server sent them; ``tokens`` is the number in them."""
 
     data: bytes
     tokens: int = 0
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseEnd:
-    """The proper end; an answer without it was cut off and is an error to the caller."""
+    """The proper end of a response; one without it was cut off, which is an error to the caller."""
 
     usage: Usage | None = None
     backend: str = ""
--- a/src/hickorybeam/model/routing.py
+++ b/src/hickorybeam/model/routing.py
@@ -1,4 +1,4 @@
-"""Where requests go and under which terms: the routing configuration, backend servers, VMs."""
+"""The routing configuration, registered backend servers, VMs and requests of the gateway."""
 
 from __future__ import annotations
 
@@ -27,9 +27,9 @@
 
 
 class Repeat(Enum):
-    """What may be done with a request whose outcome is not known.
+    """Whether a request whose outcome is unknown may be retried.
 
-    A ``STREAM`` may run again only where its route says that it can be resumed.
+    A ``STREAM`` may be retried only if its route is resumable.
     """
 
     IDEMPOTENT = "idempotent"
@@ -38,7 +38,7 @@
 
 
 class Unit(Enum):
-    """In what an account's rate and burst are counted."""
+    """The unit of an account's rate and burst."""
 
     REQUESTS = "requests"
     TOKENS = "tokens"
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WeightedService:
-    """A service and its share of a route's requests."""
+    """A service and its weight in the split of a route's requests."""
 
     service: str
     weight: float
@@ -54,9 +54,9 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Route:
-    """Requests of one host under one path prefix, and how they are treated.
+    """Requests of one host under one path prefix, and how they are handled.
 
-    Times are in ms. ``rank`` 0 is the most urgent. ``homes`` are the regions in which it may
+    Times are in ms. ``rank`` 0 is the most urgent. ``homes`` are the regions in which requests may
     be processed; empty for all.
     """
 
@@ -77,13 +77,13 @@
 
     @property
     def repeatable(self) -> bool:
-        """Whether a run whose outcome is unknown may be followed by another."""
+        """Whether a request whose outcome is unknown may be retried."""
         return self.repeat is Repeat.IDEMPOTENT or (self.repeat is Repeat.STREAM and self.resumable)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class EngineSpec:
-    """What a model engine of a service can hold: requests at once, tokens in its cache."""
+    """Capacity of a service's model engines: concurrent requests, tokens in the cache."""
 
     slots: int = 0
     cache_tokens: int = 0
@@ -91,7 +91,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ServiceSpec:
-    """A service; ``cold_per_s`` bounds the requests that a cold server of it may get."""
+    """A service; ``cold_per_s`` limits the requests per second to each of its cold servers."""
 
     name: str
     health_path: str = "/health"
@@ -103,10 +103,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class AccountTerms:
-    """A client account's rate and burst over all VMs (0: no bound), and its homes.
+    """A client account's rate and burst over all VMs (0: no limit), and its home regions.
 
-    ``tokens_when_untold`` is the cost of a request that does not tell its tokens. ``rank``
-    goes before the route's where it is given.
+    ``tokens_when_untold`` is the cost of a request that does not declare its tokens. ``rank``, if
+    set, overrides the route's.
     """
 
     name: str
@@ -120,7 +120,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class CallerLimits:
-    """What a caller may send, in bytes, and how long it may take or idle, in ms."""
+    """Limits on a caller's request, in bytes, and on its duration and idle time, in ms."""
 
     header_bytes: int = 16_384
     body_bytes: int = 4_194_304
@@ -130,7 +130,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RoutingConfig:
-    """The whole routing configuration of one version; ``keys`` leads to names of accounts."""
+    """One version of the routing configuration; ``keys`` maps key digests to account names."""
 
     version: int
     routes: tuple[Route, ...] = ()
@@ -143,10 +143,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RegisteredServer:
-    """One life of a backend server, as it registered itself.
+    """One incarnation of a backend server, as it registered itself.
 
-    ``cold_ms`` is how long it stays cold from when this was read; ``born_ms`` the wall time
-    of its start. A ``leaving`` one gets no new work; ``gone_in_ms`` is when it ends, if known.
+    ``cold_ms`` is how long it stays cold, from when the entry was read; ``born_ms`` is the wall
+    time of its start. A ``leaving`` one gets no new work; ``gone_in_ms`` is the time until it ends,
+    if known.
     """
 
     id: str
@@ -164,9 +165,9 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class GatewayVm:
-    """How callers and peers reach one VM of the gateway, in one life of it.
+    """Addresses of one incarnation of a VM of the gateway.
 
-    ``power`` is its processor, in usual cores.
+    ``power`` is its CPU capacity in standard cores.
     """
 
     name: str
@@ -181,7 +182,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PromptPart:
-    """A part of a prompt that requests may share, by id, and its size in tokens."""
+    """A part of a prompt that requests may share: its id and its size in tokens."""
 
     id: str
     tokens: int
@@ -189,9 +190,9 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RelayCall:
-    """A caller's request on its way: what decisions need, and what goes on unchanged.
+    """A caller's request: what decisions need, and what is forwarded unchanged.
 
-    ``headers`` are those to pass on. ``deadline_ms`` is on this VM's clock.
+    ``headers`` are those to forward. ``deadline_ms`` is on this VM's monotonic clock.
     """
 
     request_id: str
--- a/src/hickorybeam/model/state.py
+++ b/src/hickorybeam/model/state.py
@@ -1,4 +1,4 @@
-"""The configuration in force: an immutable value that readers hold while they decide."""
+"""The configuration in force: an immutable snapshot, so that a decision uses one state."""
 
 from __future__ import annotations
 
@@ -48,49 +48,49 @@
     objects: Mapping[ObjectRef, Versioned[ConfigObject]] = field(default_factory=dict)
 
     def ticket_number(self, ref: ObjectRef) -> int:
-        """Return the number that set or deleted an object, 0 if none did."""
+        """Return the number of the ticket that last set or deleted an object, or 0."""
         found = self.objects.get(ref)
         return found.ticket if found else 0
 
     @cached_property
     def regions(self) -> Mapping[str, Region]:
         """Regions by name."""
-        return self._table(ObjectKind.REGION, Region)
+        return self._objects_of(ObjectKind.REGION, Region)
 
     @cached_property
     def residency_rules(self) -> Mapping[str, ResidencyRule]:
         """Residency rules by name."""
-        return self._table(ObjectKind.RESIDENCY, ResidencyRule)
+        return self._objects_of(ObjectKind.RESIDENCY, ResidencyRule)
 
     @cached_property
     def accounts(self) -> Mapping[str, ClientAccount]:
         """Client accounts by name."""
-        return self._table(ObjectKind.ACCOUNT, ClientAccount)
+        return self._objects_of(ObjectKind.ACCOUNT, ClientAccount)
 
     @cached_property
     def keys(self) -> Mapping[str, ClientKey]:
         """Keys by digest."""
-        return self._table(ObjectKind.KEY, ClientKey)
+        return self._objects_of(ObjectKind.KEY, ClientKey)
 
     @cached_property
     def models(self) -> Mapping[str, ModelService]:
         """Models by name."""
-        return self._table(ObjectKind.MODEL, ModelService)
+        return self._objects_of(ObjectKind.MODEL, ModelService)
 
     @cached_property
     def services(self) -> Mapping[str, PlainService]:
         """Plain services by name."""
-        return self._table(ObjectKind.SERVICE, PlainService)
+        return self._objects_of(ObjectKind.SERVICE, PlainService)
 
     @cached_property
     def routes(self) -> Mapping[str, ServiceRoute]:
         """Routes to plain services by name."""
-        return self._table(ObjectKind.ROUTE, ServiceRoute)
+        return self._objects_of(ObjectKind.ROUTE, ServiceRoute)
 
     @cached_property
     def backends(self) -> Mapping[str, BackendServer]:
         """Backend servers by name."""
-        return self._table(ObjectKind.BACKEND, BackendServer)
+        return self._objects_of(ObjectKind.BACKEND, BackendServer)
 
     @cached_property
     def backends_by_served(self) -> Mapping[str, tuple[BackendServer, ...]]:
@@ -102,9 +102,9 @@
         return {name: tuple(found) for name, found in served.items()}
 
     def allowed_regions(self, account: ClientAccount) -> frozenset[str] | None:
-        """Return the regions whose VMs and backend servers may see the account's data.
+        """Return the regions whose VMs and backend servers may process the account's data.
 
-        :return: ``None`` when the account's rule does not exist; nothing is allowed then.
+        :return: ``None`` if the account's rule does not exist; then no region is allowed.
         """
         if account.residency is None:
             return frozenset(self.regions)
@@ -112,11 +112,11 @@
         return None if rule is None else frozenset(rule.regions) & frozenset(self.regions)
 
     def is_withdrawn(self, digest: str) -> bool:
-        """Whether a key existed once and was deleted."""
+        """Return whether a key existed and was deleted."""
         found = self.objects.get(ObjectRef(ObjectKind.KEY.value, digest))
         return found is not None and found.value is None
 
-    def _table(self, kind: ObjectKind, cls: type[T]) -> Mapping[str, T]:
+    def _objects_of(self, kind: ObjectKind, cls: type[T]) -> Mapping[str, T]:
         return {
             ref.name: entry.value
             for ref, entry in self.objects.items()
--- a/src/hickorybeam/model/ticket.py
+++ b/src/hickorybeam/model/ticket.py
@@ -1,4 +1,4 @@
-"""The change ticket: a number and the whole new state of each object it touches."""
+"""The change ticket: a number and the complete new state of each object that it changes."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ChangeTicket:
-    """One numbered change; a later number wins for each object."""
+    """One numbered change; for each object, the highest number wins."""
 
     number: int
     regions: tuple[Region, ...] = ()
@@ -54,5 +54,5 @@
         )
 
     def changed_refs(self) -> tuple[ObjectRef, ...]:
-        """Return every object that the ticket sets or deletes."""
+        """Return references to all objects that the ticket sets or deletes."""
         return (*(ref_of(obj) for obj in self.objects()), *self.deleted)
--- a/tests/model/errors.feature
+++ b/tests/model/errors.feature
@@ -1,5 +1,5 @@
-Feature: one closed list of error kinds
+Feature: every error kind has a defined response
 
-  Scenario: every kind has its answer and only refusals known not to have run say so
+  Scenario: every kind has a response, and a retry elsewhere is offered only if nothing ran
     Then every error kind has a row in the table
-    And every answer that asks for a retry elsewhere says that nothing ran
+    And every response that asks for a retry elsewhere says that nothing ran
--- a/tests/steps/model/errors_steps.py
+++ b/tests/steps/model/errors_steps.py
@@ -10,7 +10,11 @@
     assert set(ERROR_RESPONSES) == set(ErrorKind)
 
 
-@then("every answer that asks for a retry elsewhere says that nothing ran")
+@then("every response that asks for a retry elsewhere says that nothing ran")
 def step_elsewhere(context):
-    wrong = [k for k, a in ERROR_RESPONSES.items() if a.retry is Retry.ELSEWHERE and a.ran is not Ran.NO]
+    wrong = [
+        kind
+        for kind, response in ERROR_RESPONSES.items()
+        if response.retry is Retry.ELSEWHERE and response.ran is not Ran.NO
+    ]
     assert not wrong, wrong
