--- a/src/hickorybeam/http1/reply.py
+++ b/src/hickorybeam/http1/response_writer.py
@@ -43,7 +43,7 @@
         self.is_disconnected = False
 
     def on_disconnect(self, callback: Callable[[], None] | None) -> None:
-        """Set the callback for a caller that disconnects before its response is complete."""
+        """Call ``callback`` once if the caller disconnects before its response is complete."""
         self._on_disconnect = callback
         if self.is_disconnected and callback is not None:
             callback()
--- a/src/hickorybeam/http1/server.py
+++ b/src/hickorybeam/http1/server.py
@@ -23,7 +23,7 @@
     has_ambiguous_framing,
     response_head_bytes,
 )
-from hickorybeam.http1.reply import ResponseWriter
+from hickorybeam.http1.response_writer import ResponseWriter
 from hickorybeam.model.routing import CallerLimits
 from hickorybeam.sockets import bind_socket
 
@@ -53,7 +53,7 @@
 
     def __init__(self, server: HttpServer) -> None:
         self.server = server
-        self.reply: ResponseWriter | None = None
+        self.response: ResponseWriter | None = None
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpRequestParser(self)
         self._pipelined = b""
@@ -82,8 +82,8 @@
         """Notify the request in progress that its caller has disconnected."""
         self.server.conns.discard(self)
         self._writable.set()
-        if self.reply is not None:
-            self.reply.connection_lost()
+        if self.response is not None:
+            self.response.connection_lost()
 
     def pause_writing(self) -> None:
         """Stop sending chunks while the caller does not read."""
@@ -99,7 +99,7 @@
         """Feed the parser, or buffer the bytes until the current response is complete."""
         if self.closing:
             return
-        if self.reply is not None:
+        if self.response is not None:
             self._pipelined += data
             if len(self._pipelined) > MAX_PIPELINED_BYTES:
                 self.abort()
@@ -113,12 +113,12 @@
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserUpgrade, httptools.HttpParserError):
-            if self.reply is None:
+            if self.response is None:
                 self.refuse(400)
             else:
                 # The bytes after a complete request are no request, or ask for another protocol.
                 # The request itself still gets its response, as the last on the connection.
-                self.reply.close_after()
+                self.response.close_after()
 
     def on_url(self, url: bytes) -> None:
         """Append to the request target."""
@@ -161,15 +161,15 @@
         close = not self._parser.should_keep_alive()
         self._in_request = False
         self._reset_request()
-        if self.reply is not None:
+        if self.response is not None:
             # A pipelined request: its response must not overtake the current one.
             self._pending.append((req, close))
             return
         self._start(req, close=close)
 
     def _start(self, req: IncomingRequest, *, close: bool) -> None:
-        self.reply = ResponseWriter(self, close=close, head_only=req.method == "HEAD")
-        self.server.spawn(req, self.reply)
+        self.response = ResponseWriter(self, close=close, head_only=req.method == "HEAD")
+        self.server.spawn(req, self.response)
 
     def _count_head(self, size: int) -> None:
         self._head_bytes += size
@@ -193,7 +193,7 @@
 
     def end_response(self, *, close: bool) -> None:
         """Start the next request, or close the connection."""
-        self.reply = None
+        self.response = None
         self._state_since_ms = self.server.clock.now()
         if close:
             if self._transport is not None:
@@ -229,7 +229,7 @@
 
     def close_if_idle(self) -> None:
         """Close the connection unless a request is being read or handled."""
-        if self.reply is None and not self._in_request and self._transport is not None:
+        if self.response is None and not self._in_request and self._transport is not None:
             self._transport.close()
 
     def check_timeouts(self, now_ms: int, limits: CallerLimits) -> None:
@@ -239,7 +239,7 @@
             and now_ms - self._stalled_since_ms > WRITE_STALL_TIMEOUT_MS
         ):
             self.abort()
-        elif self.reply is not None:
+        elif self.response is not None:
             return
         elif self._in_request:
             if now_ms - self._state_since_ms > limits.header_ms:
@@ -301,20 +301,20 @@
         for conn in tuple(self.conns):
             conn.close_if_idle()
 
-    def spawn(self, req: IncomingRequest, reply: ResponseWriter) -> None:
+    def spawn(self, req: IncomingRequest, response: ResponseWriter) -> None:
         """Start the task that handles one request."""
-        self._tasks.start_soon(self._handle, req, reply)
+        self._tasks.start_soon(self._handle, req, response)
 
-    async def _handle(self, req: IncomingRequest, reply: ResponseWriter) -> None:
+    async def _handle(self, req: IncomingRequest, response: ResponseWriter) -> None:
         self.in_flight += 1
         try:
-            await self._handler(req, reply)
+            await self._handler(req, response)
         except Exception as exc:
             logging.exception("request handler failed: %s", exc)
         finally:
             self.in_flight -= 1
-            if not reply.done:
-                reply.abort()
+            if not response.done:
+                response.abort()
 
     async def _check_timeouts(self) -> None:
         while True:
