--- a/src/hickorybeam/model/config.py
+++ b/src/hickorybeam/model/config.py
@@ -99,7 +99,7 @@
 class ModelService:
     """A model that engines serve, and the regions in which it is placed.
 
-    ``adapter_of`` names the base model if this is an adapter. ``min_engines`` applies to each of
+    ``adapter_of`` names the base model if this is an adapter. ``min_engines`` are kept in each of
     these regions; ``weight_bytes`` is what loading the model reads from the weight store.
     """
 
--- a/src/hickorybeam/model/fleet.py
+++ b/src/hickorybeam/model/fleet.py
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class VmId:
-    """Identity of one entry VM; every restart has a new incarnation."""
+    """Identity of one incarnation of an entry VM; a restart has a new one."""
 
     name: str
     incarnation: str
--- a/src/hickorybeam/model/state.py
+++ b/src/hickorybeam/model/state.py
@@ -48,7 +48,7 @@
     objects: Mapping[ObjectRef, Versioned[ConfigObject]] = field(default_factory=dict)
 
     def ticket_number(self, ref: ObjectRef) -> int:
-        """Return the number of the ticket that last set or deleted an object, or 0."""
+        """Return the number of the ticket that last set or deleted an object, 0 if none did."""
         found = self.objects.get(ref)
         return found.ticket if found else 0
 
--- a/src/hickorybeam/ports.py
+++ b/src/hickorybeam/ports.py
@@ -96,7 +96,7 @@
         ...
 
     async def wait_for(self, position: int, *, timeout_ms: int) -> ConfigState:
-        """Wait until a log position is in force, or raise ``CONFIG_BEHIND``."""
+        """Catch up to a log position, or raise ``CONFIG_BEHIND``."""
         ...
 
     async def wait_past(self, position: int) -> ConfigState:
