--- a/src/hickorybeam/gateway/feed.py
+++ b/src/hickorybeam/gateway/feed.py
@@ -21,12 +21,12 @@
 from hickorybeam.gateway.routing_state import RoutingState
 from hickorybeam.kernel import Service
 from hickorybeam.platform import (
-    EVACUATIONS,
-    FEED_PREFIXES,
-    Evacuated,
-    NewConfig,
-    ServerSeen,
-    Unreadable,
+    EVACUATION_PREFIX,
+    WATCHED_PREFIXES,
+    EvacuationEntry,
+    ConfigEntry,
+    ServerEntry,
+    InvalidEntry,
     decode_entry,
 )
 from hickorybeam.ports import FEED, PLATFORM
@@ -325,7 +325,7 @@
         """
         self.revision = max(self.revision, latest)
         for item in batch.puts:
-            if not item.key.startswith((*FEED_PREFIXES, self._cfg.platform.prefix)):
+            if not item.key.startswith((*WATCHED_PREFIXES, self._cfg.platform.prefix)):
                 continue
             known = self._entries.get(item.key)
             if known is not None and known.mod_revision >= item.mod_revision:
@@ -342,19 +342,19 @@
         if item.key.startswith(self._cfg.platform.prefix):
             return
         match decode_entry(item.key, item.value):
-            case NewConfig(config):
+            case ConfigEntry(config):
                 if self.routing_state.update_config(config):
                     logging.info("configuration version %d is in force", config.version)
                     self._version_gauge.set(config.version)
                     self._config_known.set()
                     for listener in self._config_listeners:
                         listener()
-            case ServerSeen(server):
+            case ServerEntry(server):
                 self.routing_state.update_server(server, self._clock.now())
-            case Evacuated(data_centre):
+            case EvacuationEntry(data_centre):
                 logging.info("data centre %s is evacuated", data_centre)
                 self.routing_state.evacuated_data_centres |= {data_centre}
-            case Unreadable(key, reason):
+            case InvalidEntry(key, reason):
                 logging.warning("invalid entry %s ignored: %s", key, reason)
                 self.routing_state.remove_server(key.rpartition("/")[2])
 
@@ -362,10 +362,10 @@
         """Handle the deletion of an entry; keep a server's for a while after a store failure."""
         if key not in self._entries:
             return
-        if key.startswith(EVACUATIONS):
+        if key.startswith(EVACUATION_PREFIX):
             del self._entries[key]
-            self.routing_state.evacuated_data_centres -= {key.removeprefix(EVACUATIONS)}
-            logging.info("data centre %s is in use again", key.removeprefix(EVACUATIONS))
+            self.routing_state.evacuated_data_centres -= {key.removeprefix(EVACUATION_PREFIX)}
+            logging.info("data centre %s is in use again", key.removeprefix(EVACUATION_PREFIX))
         elif self._clock.now() - self._last_failure_ms < RECENT_FAILURE_MS and self._is_server_key(
             key
         ):
@@ -379,7 +379,7 @@
             self.routing_state.remove_server(key.rpartition("/")[2])
 
     def _is_server_key(self, key: str) -> bool:
-        return key.startswith(FEED_PREFIXES[1])
+        return key.startswith(WATCHED_PREFIXES[1])
 
     async def _remove_expired(self) -> None:
         """Remove servers that expired with the store and did not register again in time."""
--- a/src/hickorybeam/gateway/fleet.py
+++ b/src/hickorybeam/gateway/fleet.py
@@ -41,7 +41,7 @@
 from hickorybeam.policy.prefix_holders import PrefixHolders
 from hickorybeam.policy.watchers import count_watchers, should_watch
 from hickorybeam.ports import FEED, FLEET, PLATFORM
-from hickorybeam.sockets import bound_socket
+from hickorybeam.sockets import bind_socket
 from hickorybeam.store import PacedPlatform, WatchBatch
 
 if TYPE_CHECKING:
@@ -194,7 +194,7 @@
     async def main(self, started: Started) -> None:
         """Register and exchange reports until cancelled."""
         loop = asyncio.get_running_loop()
-        self._peer_socket = bound_socket(self._cfg.vm.host, self.own_vm.peer_port)
+        self._peer_socket = bind_socket(self._cfg.vm.host, self.own_vm.peer_port)
         port = self._peer_socket.getsockname()[1]
         self._transport, _ = await loop.create_datagram_endpoint(
             lambda: DatagramReceiver(self.receive_datagram), local_addr=(self._cfg.vm.host, port)
@@ -215,7 +215,7 @@
         It is bound together with the UDP port, so that both have the same number.
         """
         sock, self._peer_socket = self._peer_socket, None
-        return sock or bound_socket(self.own_vm.host, self.own_vm.peer_port)
+        return sock or bind_socket(self.own_vm.host, self.own_vm.peer_port)
 
     def start_registering(self, *, caller_port: int) -> None:
         """Start to register this VM, once callers and peers can connect."""
--- a/src/hickorybeam/gateway/relay.py
+++ b/src/hickorybeam/gateway/relay.py
@@ -19,13 +19,13 @@
 from hickorybeam.gateway.feed import CHANGES_PATH, STATE_PATH, FeedService
 from hickorybeam.gateway.fleet import FleetService
 from hickorybeam.gateway.request_handler import RequestHandler, shutdown_times
-from hickorybeam.http1 import HttpServer, UpstreamPool, find
+from hickorybeam.http1 import HttpServer, UpstreamPool, find_header
 from hickorybeam.kernel import Service
 from hickorybeam.model.routing import Repeat, Route
-from hickorybeam.platform import decode_call, decode_query, directory_answer
+from hickorybeam.platform import decode_call, decode_query, directory_response
 from hickorybeam.policy.directory_listing import RegionVms, vms_to_list
 from hickorybeam.ports import FEED, FLEET, RELAY
-from hickorybeam.sockets import bound_socket, split_address
+from hickorybeam.sockets import bind_socket, split_address
 from hickorybeam.telemetry.decisions import DecisionLog
 
 if TYPE_CHECKING:
@@ -33,7 +33,7 @@
     from collections.abc import Sequence
 
     from hickorybeam.clock import Clock
-    from hickorybeam.http1 import Incoming, Reply
+    from hickorybeam.http1 import IncomingRequest, ResponseWriter
     from hickorybeam.http1.server import Handler
     from hickorybeam.kernel import Kernel, Started
     from hickorybeam.model.routing import GatewayVm
@@ -190,46 +190,46 @@
     def _count_malformed(self, status: int) -> None:
         self._counters.refusals.labels(f"malformed_{status}").inc()
 
-    async def _serve_peer(self, req: Incoming, reply: Reply) -> None:
+    async def _serve_peer(self, req: IncomingRequest, reply: ResponseWriter) -> None:
         """Serve the peers' port: requests forwarded by another region's VM, metrics, changes."""
         if req.target == METRICS_PATH:
-            reply.whole(200, METRICS_HEADERS, self._counters.text())
+            reply.send(200, METRICS_HEADERS, self._counters.text())
             return
         if req.target.startswith(CHANGES_PREFIX):
             self._serve_changes(req, reply)
             return
         request = decode_forwarded_request(req)
         if request is None:
-            reply.whole(404)
+            reply.send(404)
             return
         await self._handler.handle_admitted(request, reply, local_only=True)
 
-    def _serve_changes(self, req: Incoming, reply: Reply) -> None:
+    def _serve_changes(self, req: IncomingRequest, reply: ResponseWriter) -> None:
         """Send the changes after a revision to a VM that doesn't watch the store."""
         after = req.target.removeprefix(CHANGES_PREFIX)
         found = self._feed.changes_after(int(after)) if after.isdigit() else None
         if found is None:
-            reply.whole(404)
+            reply.send(404)
         else:
-            reply.whole(200, MSGPACK_HEADERS, found)
+            reply.send(200, MSGPACK_HEADERS, found)
 
-    async def _serve_readiness(self, req: Incoming, reply: Reply) -> None:
+    async def _serve_readiness(self, req: IncomingRequest, reply: ResponseWriter) -> None:
         ready = self._feed.routing_state.config is not None and not self._leaving
-        reply.whole(200 if ready else 503)
+        reply.send(200 if ready else 503)
 
-    async def _serve_directory(self, req: Incoming, reply: Reply) -> None:
+    async def _serve_directory(self, req: IncomingRequest, reply: ResponseWriter) -> None:
         """Send the addresses of the VMs that the caller should use."""
         query = decode_query(req.target)
         if query is None:
-            reply.whole(404)
+            reply.send(404)
             return
         vms = self._listed_vms(query.host, query.region)
         if not vms:
-            reply.whole(503)
+            reply.send(503)
             return
         addresses = [f"{vm.host}:{vm.caller_port}" for vm in vms[:64]]
-        answer = directory_answer(addresses, ttl_ms=DIRECTORY_TTL_MS)
-        reply.whole(200, JSON_HEADERS, answer)
+        answer = directory_response(addresses, ttl_ms=DIRECTORY_TTL_MS)
+        reply.send(200, JSON_HEADERS, answer)
 
     def _listed_vms(self, host: str, region: str) -> Sequence[GatewayVm]:
         """Return the VMs that a caller of a region should use."""
@@ -257,11 +257,11 @@
             ],
         )
 
-    async def _serve_state(self, req: Incoming, reply: Reply) -> None:
+    async def _serve_state(self, req: IncomingRequest, reply: ResponseWriter) -> None:
         if req.target.decode("latin-1") == STATE_PATH and self._feed.routing_state.config:
-            reply.whole(200, MSGPACK_HEADERS, self._feed.encode_state())
+            reply.send(200, MSGPACK_HEADERS, self._feed.encode_state())
         else:
-            reply.whole(404)
+            reply.send(404)
 
 
 def decode_urgency(value: bytes | None) -> int:
@@ -275,24 +275,24 @@
     :param bound_port: port of an earlier start; if not 0, used instead of the address's own.
     """
     host, port = split_address(address)
-    return bound_socket(host, bound_port or port)
+    return bind_socket(host, bound_port or port)
 
 
-def decode_forwarded_request(req: Incoming) -> AdmittedRequest | None:
+def decode_forwarded_request(req: IncomingRequest) -> AdmittedRequest | None:
     """Decode a request forwarded by another VM, ``None`` if it isn't one."""
-    service = find(req.headers, HOP_SERVICE)
-    time_left_ms = find(req.headers, HOP_TIME_LEFT_MS)
+    service = find_header(req.headers, HOP_SERVICE)
+    time_left_ms = find_header(req.headers, HOP_TIME_LEFT_MS)
     if service is None or time_left_ms is None or not time_left_ms.isdigit():
         return None
     call = decode_call(req)
-    account, resume_after = find(req.headers, HOP_ACCOUNT), find(req.headers, HOP_RESUME_AFTER)
+    account, resume_after = find_header(req.headers, HOP_ACCOUNT), find_header(req.headers, HOP_RESUME_AFTER)
     route = Route(name="hop", host="", prefix="/", repeat=Repeat.ONCE, targets=())
     return AdmittedRequest(
         call=call,
         route=route,
         service=service.decode("latin-1"),
         account=None if account is None else account.decode("latin-1"),
-        urgency=decode_urgency(find(req.headers, HOP_URGENCY)),
+        urgency=decode_urgency(find_header(req.headers, HOP_URGENCY)),
         deadline_ms=req.arrived_ms + int(time_left_ms),
         resume_after=None if resume_after is None else resume_after.decode("latin-1"),
     )
--- a/src/hickorybeam/gateway/routing_state.py
+++ b/src/hickorybeam/gateway/routing_state.py
@@ -9,7 +9,7 @@
 
 from absl import logging
 
-from hickorybeam.model.routing import CallerRules, RoutingConfig
+from hickorybeam.model.routing import CallerLimits, RoutingConfig
 from hickorybeam.policy.cold_limit import ColdServerLimiter
 from hickorybeam.policy.route_table import RouteTable
 from hickorybeam.policy.server_choice import ServerState
@@ -32,9 +32,9 @@
         self._cold_until: dict[str, int] = {}
         self._cold_limits: dict[str, ColdServerLimiter] = {}
 
-    def caller_limits(self) -> CallerRules:
+    def caller_limits(self) -> CallerLimits:
         """Return the limits on callers' requests that are in force."""
-        return self.config.callers if self.config else CallerRules()
+        return self.config.callers if self.config else CallerLimits()
 
     def update_config(self, config: RoutingConfig) -> bool:
         """Apply a configuration if it is newer than the one in force.
--- a/src/hickorybeam/http1/__init__.py
+++ b/src/hickorybeam/http1/__init__.py
@@ -1,22 +1,28 @@
-"""HTTP/1.1 on both sides of the gateway: callers' connections and those to other servers."""
+"""HTTP/1.1 on both sides of the gateway: server for callers, client for other servers."""
 
 from __future__ import annotations
 
-from hickorybeam.http1.head import AnswerHead, Incoming, RawHeaders, find, framing_fault
+from hickorybeam.http1.head import (
+    IncomingRequest,
+    RawHeaders,
+    ResponseHead,
+    find_header,
+    has_ambiguous_framing,
+)
 from hickorybeam.http1.pool import ConnectFailedError, UpstreamPool
-from hickorybeam.http1.server import HttpServer, Reply
-from hickorybeam.http1.upstream import BrokenAnswerError, UpstreamConnection
+from hickorybeam.http1.server import HttpServer, ResponseWriter
+from hickorybeam.http1.upstream import BrokenResponseError, UpstreamConnection
 
 __all__ = (
-    "AnswerHead",
-    "BrokenAnswerError",
+    "ResponseHead",
+    "BrokenResponseError",
     "ConnectFailedError",
     "HttpServer",
-    "Incoming",
+    "IncomingRequest",
     "RawHeaders",
-    "Reply",
+    "ResponseWriter",
     "UpstreamConnection",
     "UpstreamPool",
-    "find",
-    "framing_fault",
+    "find_header",
+    "has_ambiguous_framing",
 )
--- a/src/hickorybeam/model/answers.py
+++ b/src/hickorybeam/model/responses.py
@@ -1,4 +1,4 @@
-"""The parts of an answer, in the order in which they reach the caller."""
+"""The parts of a response, in the order in which they reach the caller."""
 
 from __future__ import annotations
 
@@ -7,24 +7,24 @@
 # Needed at run time: msgspec reads the field types when it encodes.
 from hickorybeam.model.calls import Header  # noqa: TC001
 
-__all__ = ("AnswerChunk", "AnswerEnd", "AnswerHead", "AnswerPart", "Usage")
+__all__ = ("ResponseChunk", "ResponseEnd", "ResponseHead", "ResponsePart", "Usage")
 
 
 @dataclass(frozen=True, slots=True)
 class Usage:
-    """Tokens that a request really took, as the engine counts them."""
+    """Tokens that a request actually used, as counted by the engine."""
 
     prompt_tokens: int = 0
     completion_tokens: int = 0
 
     @property
     def total(self) -> int:
-        """Tokens to settle against the account."""
+        """Tokens charged to the account."""
         return self.prompt_tokens + self.completion_tokens
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerHead:
+class ResponseHead:
     """Status and headers; always the first part."""
 
     status: int
@@ -32,20 +32,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerChunk:
-    """Bytes of the body as the backend server sent them; ``tokens`` counts those within."""
+class ResponseChunk:
+    """Bytes of the body as the backend server sent them; ``tokens`` is the number in them."""
 
     data: bytes
     tokens: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerEnd:
-    """The proper end; an answer without it was cut off and is an error to the caller."""
+class ResponseEnd:
+    """The proper end of a response; one without it was cut off, which is an error to the caller."""
 
     usage: Usage | None = None
     backend: str = ""
     region: str = ""
 
 
-AnswerPart = AnswerHead | AnswerChunk | AnswerEnd
+ResponsePart = ResponseHead | ResponseChunk | ResponseEnd
