--- a/bench/load/world.py
+++ b/bench/load/world.py
@@ -309,7 +309,9 @@
 
         def end(now: float, whole: bool) -> None:
             if whole:
-                vm.sched.run_ended(job, backend, int(now), Outcome.OK, job.prompt_tokens + work.made)
+                vm.sched.run_ended(
+                    job, backend, int(now), Outcome.OK, job.prompt_tokens + work.made
+                )
                 vm.sched.call_ended(job, int(now))
                 if not request.outcome:
                     request.region = vm.region
--- a/bench/placing_cost.py
+++ b/bench/placing_cost.py
@@ -15,12 +15,12 @@
 
 from hickorybeam.clock import SystemClock
 from hickorybeam.gateway.fleet import PeerMessage
+from hickorybeam.gateway.local_placement import LocalPlacement
 from hickorybeam.gateway.placement_coordinator import PlacementCoordinator
+from hickorybeam.gateway.placement_messages import PlacementRequest, PlacementUpdate, SendStatus
 from hickorybeam.gateway.routing_state import RoutingState
 from hickorybeam.gateway.service_queue import ServiceQueues
-from hickorybeam.gateway.placement_messages import SendStatus, PlacementUpdate, PlacementRequest
 from hickorybeam.gateway.target_selector import TargetSelector
-from hickorybeam.gateway.local_placement import LocalPlacement
 from hickorybeam.model.routing import RegisteredServer
 from hickorybeam.policy.prefix_holders import PrefixHolders
 from hickorybeam.policy.shutdown import ShutdownSchedule
@@ -56,17 +56,25 @@
         in_own_region=lambda data_centre: True,
         report_lag_ms=0.0,
         coordinators=SimpleNamespace(
-            is_coordinator=lambda service: True, cold_server_senders=lambda server: [], serving_vms=lambda: ["v0"]
+            is_coordinator=lambda service: True,
+            cold_server_senders=lambda server: [],
+            serving_vms=lambda: ["v0"],
         ),
         remote_candidates=lambda service, leaving=False: [],
         send_message=lambda vm, word: msgspec.msgpack.encode(word),
     )
     lines = ServiceQueues(clock)
     placing = TargetSelector(
-        shutdown=ShutdownSchedule(8_000), clock=clock, routing_state=routing_state, fleet=fleet, queues=lines
+        shutdown=ShutdownSchedule(8_000),
+        clock=clock,
+        routing_state=routing_state,
+        fleet=fleet,
+        queues=lines,
     )
     queueing = LocalPlacement(clock=clock, queues=lines, selector=placing)
-    grants = PlacementCoordinator(clock=clock, fleet=fleet, selector=placing, local_placement=queueing)
+    grants = PlacementCoordinator(
+        clock=clock, fleet=fleet, selector=placing, local_placement=queueing
+    )
     words = [msgspec.msgpack.encode(question(number)) for number in range(PROMPTS)]
     began = time.process_time()
     for number, word in enumerate(words):
--- a/src/hickorybeam/backends/engine.py
+++ b/src/hickorybeam/backends/engine.py
@@ -11,7 +11,7 @@
 from hickorybeam.backends.headers import engine_headers, returned
 from hickorybeam.backends.sse import SseReader, usage_of
 from hickorybeam.errors import ErrorKind, GatewayError
-from hickorybeam.model import ResponseChunk, ResponseEnd, ResponseHead, ResponsePart, CallKind
+from hickorybeam.model import CallKind, ResponseChunk, ResponseEnd, ResponseHead, ResponsePart
 
 if TYPE_CHECKING:
     from collections.abc import AsyncGenerator, Callable
--- a/src/hickorybeam/backends/service.py
+++ b/src/hickorybeam/backends/service.py
@@ -22,7 +22,7 @@
 
     from hickorybeam.clock import Clock
     from hickorybeam.kernel import Kernel, Started
-    from hickorybeam.model import ResponsePart, BackendServer, Call, LoadReport
+    from hickorybeam.model import BackendServer, Call, LoadReport, ResponsePart
     from hickorybeam.settings import Settings
     from hickorybeam.telemetry import Counters
 
--- a/src/hickorybeam/dispatch/attempts.py
+++ b/src/hickorybeam/dispatch/attempts.py
@@ -23,7 +23,7 @@
     from hickorybeam.dispatch.load_task import LoadTask
     from hickorybeam.dispatch.metrics import LoadMetrics
     from hickorybeam.dispatch.running import RunningCall
-    from hickorybeam.model import ResponsePart, EntryVm
+    from hickorybeam.model import EntryVm, ResponsePart
     from hickorybeam.policy.job import Decision, Job
     from hickorybeam.policy.retry import RetryBudget
     from hickorybeam.ports import BackendClient, ConfigView, Members, Peers
@@ -183,7 +183,9 @@
     def _left_ms(self) -> int:
         return max(0, self._deadline - self._near.clock.now())
 
-    async def _parts(self, parts: AsyncIterator[ResponsePart]) -> AsyncGenerator[ResponsePart, None]:
+    async def _parts(
+        self, parts: AsyncIterator[ResponsePart]
+    ) -> AsyncGenerator[ResponsePart, None]:
         """Yield the parts, the head together with the first part that follows it.
 
         An engine sends its head long before its first token. Held until then, a call whose
--- a/src/hickorybeam/dispatch/running.py
+++ b/src/hickorybeam/dispatch/running.py
@@ -13,7 +13,7 @@
     from collections.abc import AsyncIterator, Awaitable
 
     from hickorybeam.clock import Clock
-    from hickorybeam.model import ResponsePart, Call, ConfigState
+    from hickorybeam.model import Call, ConfigState, ResponsePart
 
 __all__ = ("RunningCall", "RunningCalls")
 
--- a/src/hickorybeam/dispatch/service.py
+++ b/src/hickorybeam/dispatch/service.py
@@ -45,7 +45,7 @@
     from hickorybeam.clock import Clock
     from hickorybeam.dispatch.checks import Permit
     from hickorybeam.kernel import Kernel, Started
-    from hickorybeam.model import ResponsePart, Call, ConfigState
+    from hickorybeam.model import Call, ConfigState, ResponsePart
     from hickorybeam.policy.job import Decision
     from hickorybeam.settings import Settings
     from hickorybeam.telemetry import Counters
--- a/src/hickorybeam/dispatch/spend.py
+++ b/src/hickorybeam/dispatch/spend.py
@@ -7,7 +7,7 @@
 from hickorybeam.model import ResponseChunk, ResponseEnd, ResponseHead
 
 if TYPE_CHECKING:
-    from hickorybeam.model import ResponsePart, Call
+    from hickorybeam.model import Call, ResponsePart
     from hickorybeam.ports import Budget
 
 __all__ = ("Spend",)
--- a/src/hickorybeam/front/gate.py
+++ b/src/hickorybeam/front/gate.py
@@ -17,7 +17,7 @@
     from hickorybeam.front.request import Request
     from hickorybeam.kernel import Kernel
     from hickorybeam.model import EntryVm, ServiceRoute
-    from hickorybeam.ports import ConfigView, Dispatch, Members, IdempotentCalls
+    from hickorybeam.ports import ConfigView, Dispatch, IdempotentCalls, Members
     from hickorybeam.settings import Settings
     from hickorybeam.telemetry import Counters
 
--- a/src/hickorybeam/front/service.py
+++ b/src/hickorybeam/front/service.py
@@ -24,8 +24,8 @@
     ONCE,
     ConfigView,
     Dispatch,
-    Members,
     IdempotentCalls,
+    Members,
 )
 from hickorybeam.watchdog import Watchdog
 
--- a/src/hickorybeam/front/work.py
+++ b/src/hickorybeam/front/work.py
@@ -16,7 +16,7 @@
     from hickorybeam.front.gate import Gate
     from hickorybeam.front.identity import Identity
     from hickorybeam.front.request import Request
-    from hickorybeam.model import ResponsePart, ClientAccount, Header, ServiceRoute
+    from hickorybeam.model import ClientAccount, Header, ResponsePart, ServiceRoute
 
 __all__ = ("chat", "completion", "plain_service", "routed")
 
--- a/src/hickorybeam/gateway/attempt.py
+++ b/src/hickorybeam/gateway/attempt.py
@@ -17,7 +17,7 @@
 
     from hickorybeam.gateway.peers import Peer
     from hickorybeam.gateway.placement_client import Grant
-    from hickorybeam.http1 import ResponseHead, RawHeaders, UpstreamConnection, UpstreamPool
+    from hickorybeam.http1 import RawHeaders, ResponseHead, UpstreamConnection, UpstreamPool
     from hickorybeam.model.routing import RelayCall, Route
     from hickorybeam.platform import ResponseInfo
     from hickorybeam.policy.server_choice import ServerState
@@ -126,7 +126,12 @@
     """
 
     def __init__(
-        self, pool: UpstreamPool, target: Target, errand: AdmittedRequest, *, copy_from: str | None = None
+        self,
+        pool: UpstreamPool,
+        target: Target,
+        errand: AdmittedRequest,
+        *,
+        copy_from: str | None = None,
     ) -> None:
         self._pool = pool
         self._copy_from = copy_from
--- a/src/hickorybeam/gateway/coordinator_ranking.py
+++ b/src/hickorybeam/gateway/coordinator_ranking.py
@@ -51,7 +51,11 @@
         Where one VM places for all, it is one of them: others would hardly ever be asked to.
         """
         order = self.ranking(server.service)
-        return order[:OWNERS_PER_COLD_SERVER] if order else cold_server_owners(server.id, self.serving_vms())
+        return (
+            order[:OWNERS_PER_COLD_SERVER]
+            if order
+            else cold_server_owners(server.id, self.serving_vms())
+        )
 
     def serving_vms(self) -> list[str]:
         """Return the names of the VMs of this region, this one included."""
--- a/src/hickorybeam/gateway/feed.py
+++ b/src/hickorybeam/gateway/feed.py
@@ -16,17 +16,17 @@
 
 from hickorybeam.clock import MS_PER_SECOND
 from hickorybeam.errors import ErrorKind, GatewayError
-from hickorybeam.gateway.vm_client import VmClient
 from hickorybeam.gateway.changes import ChangeLog, decode_changes, decode_entries, encode_entries
 from hickorybeam.gateway.routing_state import RoutingState
+from hickorybeam.gateway.vm_client import VmClient
 from hickorybeam.kernel import Service
 from hickorybeam.platform import (
     EVACUATION_PREFIX,
     WATCHED_PREFIXES,
-    EvacuationEntry,
     ConfigEntry,
-    ServerEntry,
+    EvacuationEntry,
     InvalidEntry,
+    ServerEntry,
     decode_entry,
 )
 from hickorybeam.ports import FEED, PLATFORM
--- a/src/hickorybeam/gateway/final_responses.py
+++ b/src/hickorybeam/gateway/final_responses.py
@@ -5,17 +5,17 @@
 from typing import TYPE_CHECKING
 
 from hickorybeam.errors import ErrorKind, GatewayError, Ran, error_response
-from hickorybeam.gateway.attempt import HOP_RETRY_AFTER_MS, HOP_NOT_RUN, NOT_ASKED, REJECTED
+from hickorybeam.gateway.attempt import HOP_NOT_RUN, HOP_RETRY_AFTER_MS, NOT_ASKED, REJECTED
 from hickorybeam.gateway.progress import name_of
-from hickorybeam.platform import response_headers, refusal_headers
+from hickorybeam.platform import refusal_headers, response_headers
 from hickorybeam.policy.retry_after import clamp_retry_after_ms, outage_retry_after_ms
 
 if TYPE_CHECKING:
     from hickorybeam.clock import Clock
     from hickorybeam.gateway.attempt import AdmittedRequest, Target
     from hickorybeam.gateway.feed import FeedService
-    from hickorybeam.gateway.target_selector import TargetSelector
     from hickorybeam.gateway.progress import Progress
+    from hickorybeam.gateway.target_selector import TargetSelector
     from hickorybeam.http1 import RawHeaders, ResponseWriter
     from hickorybeam.model.routing import RelayCall
     from hickorybeam.telemetry import Counters
@@ -97,7 +97,11 @@
         return ErrorKind.NO_BACKEND, after
 
     def refuse(
-        self, call: RelayCall, reply: ResponseWriter, exc: GatewayError, progress: Progress | None = None
+        self,
+        call: RelayCall,
+        reply: ResponseWriter,
+        exc: GatewayError,
+        progress: Progress | None = None,
     ) -> None:
         """Send an answer of the gateway's own.
 
@@ -151,7 +155,9 @@
         """Count how a request ended."""
         self._counters.requests.labels(errand.route.name, outcome).inc()
 
-    def note(self, event: str, errand: AdmittedRequest, target: Target | None, **fields: object) -> None:
+    def note(
+        self, event: str, errand: AdmittedRequest, target: Target | None, **fields: object
+    ) -> None:
         """Log a decision about a request."""
         self._log.write(
             event,
--- a/src/hickorybeam/gateway/fleet.py
+++ b/src/hickorybeam/gateway/fleet.py
@@ -18,27 +18,32 @@
 import msgspec
 from absl import logging
 
+from hickorybeam.gateway.coordinator_ranking import CoordinatorRanking
 from hickorybeam.gateway.datagrams import DatagramReceiver
 from hickorybeam.gateway.feed import FeedService
 from hickorybeam.gateway.peers import DISCOVERY_MS, MIN_STABLE_MS, PeerTable
-from hickorybeam.gateway.placement_messages import PlacementResponse, HeldPlacements, PlacementUpdate, PlacementRequest
+from hickorybeam.gateway.placement_messages import (
+    HeldPlacements,
+    PlacementRequest,
+    PlacementResponse,
+    PlacementUpdate,
+)
 from hickorybeam.gateway.registration import Registration
 from hickorybeam.gateway.status_report import Audience, StatusReport
 from hickorybeam.gateway.usage_reporting import OwnUsage, apply_peer_usage
-from hickorybeam.gateway.coordinator_ranking import CoordinatorRanking
 from hickorybeam.kernel import Service
 from hickorybeam.model.routing import GatewayVm
 from hickorybeam.policy.fleet_quota import FleetQuota
+from hickorybeam.policy.prefix_holders import PrefixHolders
 from hickorybeam.policy.report_intervals import (
-    peer_timeout_ms,
-    local_report_interval_ms,
     jittered_interval_ms,
+    local_report_interval_ms,
+    peer_timeout_ms,
     remote_report_interval_ms,
     watch_pause_ms,
     watch_poll_timeout_ms,
     watcher_timeout_ms,
 )
-from hickorybeam.policy.prefix_holders import PrefixHolders
 from hickorybeam.policy.watchers import count_watchers, should_watch
 from hickorybeam.ports import FEED, FLEET, PLATFORM
 from hickorybeam.sockets import bind_socket
@@ -268,13 +273,18 @@
     async def _report_remotely(self) -> None:
         while True:
             just_started = not self.fleet_known()
-            interval_ms = remote_report_interval_ms(self.known_vm_count(), just_started=just_started)
+            interval_ms = remote_report_interval_ms(
+                self.known_vm_count(), just_started=just_started
+            )
             await self._clock.sleep(jittered_interval_ms(interval_ms, self._rng))
             self._send_remote_reports()
 
     def _adjust_intervals(self) -> None:
         """Adjust intervals and timeouts to the fleet's size, and whether to watch the store."""
-        local, watchers = len(self.peers.local_peers()), count_watchers(self.peers.data_centre_sizes())
+        local, watchers = (
+            len(self.peers.local_peers()),
+            count_watchers(self.peers.data_centre_sizes()),
+        )
         self.peers.peer_timeout_ms = peer_timeout_ms(local_peers=local, vms=self.known_vm_count())
         self.quota.peer_timeout_ms = self.peers.quota_peer_timeout_ms()
         self._store.watch_pause_ms = watch_pause_ms(watchers)
--- a/src/hickorybeam/gateway/in_flight.py
+++ b/src/hickorybeam/gateway/in_flight.py
@@ -9,8 +9,8 @@
 
 if TYPE_CHECKING:
     from hickorybeam.clock import Clock
-    from hickorybeam.gateway.service_queue import ServiceQueue
     from hickorybeam.gateway.placement_client import Grant
+    from hickorybeam.gateway.service_queue import ServiceQueue
     from hickorybeam.policy.server_choice import ServerState
 
 __all__ = ("Burden",)
--- a/src/hickorybeam/gateway/local_placement.py
+++ b/src/hickorybeam/gateway/local_placement.py
@@ -62,7 +62,9 @@
         finally:
             line.leave(place)
 
-    def at_last(self, errand: AdmittedRequest, targets: OpenTargets, found: Full) -> Target | Full | None:
+    def at_last(
+        self, errand: AdmittedRequest, targets: OpenTargets, found: Full
+    ) -> Target | Full | None:
         """Choose once more for one that need not wait any longer for being late."""
         if found.in_vain:
             return found
--- a/src/hickorybeam/gateway/peers.py
+++ b/src/hickorybeam/gateway/peers.py
@@ -12,10 +12,10 @@
 from hickorybeam.model.routing import GatewayVm
 from hickorybeam.policy.report_intervals import (
     MIN_PEER_TIMEOUT_MS,
-    local_report_interval_ms,
-    remote_report_interval_ms,
     isolation_timeout_ms,
+    local_report_interval_ms,
     quota_peer_timeout_ms,
+    remote_report_interval_ms,
 )
 
 if TYPE_CHECKING:
@@ -96,7 +96,9 @@
 
     def quota_peer_timeout_ms(self) -> int:
         """Return how long a VM may send no report before it counts as spending its own share."""
-        return quota_peer_timeout_ms(local_peers=len(self.local_peers()), vms=1 + self.known_count())
+        return quota_peer_timeout_ms(
+            local_peers=len(self.local_peers()), vms=1 + self.known_count()
+        )
 
     def is_live(self, peer: Peer) -> bool:
         """Return whether a report of the VM arrived within the timeout."""
--- a/src/hickorybeam/gateway/placement_client.py
+++ b/src/hickorybeam/gateway/placement_client.py
@@ -12,17 +12,24 @@
 
 from hickorybeam.clock import MS_PER_SECOND
 from hickorybeam.gateway.attempt import ToPeer, ToServer
-from hickorybeam.gateway.placement_messages import SendStatus, PlacementResponse, HeldPlacements, PlacementUpdate, PlacementResult, PlacementRequest
-from hickorybeam.gateway.target_selector import Full, Nowhere
+from hickorybeam.gateway.placement_messages import (
+    HeldPlacements,
+    PlacementRequest,
+    PlacementResponse,
+    PlacementResult,
+    PlacementUpdate,
+    SendStatus,
+)
 from hickorybeam.gateway.status_report import NO_USAGE, add_usage
+from hickorybeam.gateway.target_selector import Full, Nowhere
 
 if TYPE_CHECKING:
     from hickorybeam.clock import Clock
     from hickorybeam.gateway.attempt import AdmittedRequest, Target
     from hickorybeam.gateway.fleet import FleetService
     from hickorybeam.gateway.routing_state import RoutingState
-    from hickorybeam.gateway.target_selector import OpenTargets
     from hickorybeam.gateway.status_report import GrantedUsage, ServerUsage
+    from hickorybeam.gateway.target_selector import OpenTargets
     from hickorybeam.policy.server_choice import ServerState
     from hickorybeam.telemetry import Counters
 
@@ -139,7 +146,9 @@
             if placer != self._fleet.own_vm.name:
                 self._fleet.send_message(placer, HeldPlacements(self._fleet.own_vm.name, numbers))
 
-    async def place(self, errand: AdmittedRequest, targets: OpenTargets) -> Target | Full | Nowhere | None:
+    async def place(
+        self, errand: AdmittedRequest, targets: OpenTargets
+    ) -> Target | Full | Nowhere | None:
         """Ask where a request goes.
 
         :return: a target, or that there is none or no room; ``None`` if this VM has to decide
@@ -161,7 +170,12 @@
                 self._end(placer, number, SendStatus.LEFT)
 
     async def _answer(
-        self, placer: str, number: int, question: Question, errand: AdmittedRequest, targets: OpenTargets
+        self,
+        placer: str,
+        number: int,
+        question: Question,
+        errand: AdmittedRequest,
+        targets: OpenTargets,
     ) -> PlacementResponse | None:
         unanswered, again_ms = 0, ASK_AGAIN_MS
         while unanswered < MOST_UNANSWERED:
@@ -178,7 +192,9 @@
         self._asked.labels("silent").inc()
         return None
 
-    def _wanted(self, number: int, errand: AdmittedRequest, targets: OpenTargets) -> PlacementRequest:
+    def _wanted(
+        self, number: int, errand: AdmittedRequest, targets: OpenTargets
+    ) -> PlacementRequest:
         now, call = self._clock.now(), errand.call
         return PlacementRequest(
             vm=self._fleet.own_vm.name,
@@ -199,7 +215,9 @@
             here_only=targets.here_only,
         )
 
-    def _found(self, answer: PlacementResponse, placer: str, number: int) -> Target | Full | Nowhere | None:
+    def _found(
+        self, answer: PlacementResponse, placer: str, number: int
+    ) -> Target | Full | Nowhere | None:
         match answer.verdict:
             case PlacementResult.SERVER:
                 return self._granted(answer, placer, number)
--- a/src/hickorybeam/gateway/placement_coordinator.py
+++ b/src/hickorybeam/gateway/placement_coordinator.py
@@ -7,7 +7,12 @@
 import anyio
 
 from hickorybeam.gateway.attempt import AdmittedRequest, ToPeer, ToServer
-from hickorybeam.gateway.placement_messages import SendStatus, PlacementResponse, PlacementResult, PlacementRequest
+from hickorybeam.gateway.placement_messages import (
+    PlacementRequest,
+    PlacementResponse,
+    PlacementResult,
+    SendStatus,
+)
 from hickorybeam.gateway.target_selector import Full, OpenTargets
 from hickorybeam.model.routing import PromptPart, RelayCall, Repeat, Route
 
@@ -16,11 +21,11 @@
 
     from hickorybeam.clock import Clock
     from hickorybeam.gateway.attempt import Target
-    from hickorybeam.gateway.in_flight import Burden
     from hickorybeam.gateway.fleet import FleetService
+    from hickorybeam.gateway.in_flight import Burden
+    from hickorybeam.gateway.local_placement import LocalPlacement
     from hickorybeam.gateway.placement_messages import HeldPlacements, PlacementUpdate
     from hickorybeam.gateway.target_selector import TargetSelector
-    from hickorybeam.gateway.local_placement import LocalPlacement
     from hickorybeam.policy.wait_queue import QueueEntry
 
 __all__ = ("PlacementCoordinator",)
@@ -39,7 +44,12 @@
     """Places given to other VMs of the region, by VM and number."""
 
     def __init__(
-        self, *, clock: Clock, fleet: FleetService, selector: TargetSelector, local_placement: LocalPlacement
+        self,
+        *,
+        clock: Clock,
+        fleet: FleetService,
+        selector: TargetSelector,
+        local_placement: LocalPlacement,
     ) -> None:
         self._clock = clock
         self._fleet = fleet
@@ -73,13 +83,17 @@
             place = self._queueing.enter(errand, found)
             if place is not None and self._tasks is not None:
                 self._waiting[key] = anyio.CancelScope()
-                self._fleet.send_message(word.vm, PlacementResponse(word.number, PlacementResult.WAITS))
+                self._fleet.send_message(
+                    word.vm, PlacementResponse(word.number, PlacementResult.WAITS)
+                )
                 self._tasks.start_soon(self._wait, key, errand, targets, place)
                 return
             found = self._queueing.at_last(errand, targets, found)
         self._answer(key, errand, found)
 
-    async def _wait(self, key: Key, errand: AdmittedRequest, targets: OpenTargets, place: QueueEntry) -> None:
+    async def _wait(
+        self, key: Key, errand: AdmittedRequest, targets: OpenTargets, place: QueueEntry
+    ) -> None:
         with self._waiting[key] as left:
             found = await self._queueing.wait(errand, targets, place)
         del self._waiting[key]
@@ -96,7 +110,11 @@
                 burden = self._placing.begin(standing, errand, given=True)
                 self._burdens[key] = (burden, errand.deadline_ms + OVERDUE_MS)
                 answer = PlacementResponse(
-                    number, PlacementResult.SERVER, standing.server.id, burden.copy_from, burden.wait_ms
+                    number,
+                    PlacementResult.SERVER,
+                    standing.server.id,
+                    burden.copy_from,
+                    burden.wait_ms,
                 )
             case ToPeer(peer):
                 answer = PlacementResponse(number, PlacementResult.OTHER_REGION, peer.vm.name)
--- a/src/hickorybeam/gateway/placement_messages.py
+++ b/src/hickorybeam/gateway/placement_messages.py
@@ -6,7 +6,14 @@
 
 import msgspec
 
-__all__ = ("SendStatus", "PlacementResponse", "HeldPlacements", "PlacementUpdate", "PlacementResult", "PlacementRequest")
+__all__ = (
+    "SendStatus",
+    "PlacementResponse",
+    "HeldPlacements",
+    "PlacementUpdate",
+    "PlacementResult",
+    "PlacementRequest",
+)
 
 
 class PlacementResult(Enum):
--- a/src/hickorybeam/gateway/relay.py
+++ b/src/hickorybeam/gateway/relay.py
@@ -10,9 +10,9 @@
 
 from hickorybeam.gateway.attempt import (
     HOP_ACCOUNT,
-    HOP_TIME_LEFT_MS,
     HOP_RESUME_AFTER,
     HOP_SERVICE,
+    HOP_TIME_LEFT_MS,
     HOP_URGENCY,
     AdmittedRequest,
 )
@@ -253,7 +253,9 @@
             serving=self._fleet.region_vms(region),
             draining=[vm for vm, for_ms in leaving if for_ms < times.accept_all_until_ms],
             draining_short_only=[
-                vm for vm, for_ms in leaving if times.accept_all_until_ms <= for_ms < times.accept_until_ms
+                vm
+                for vm, for_ms in leaving
+                if times.accept_all_until_ms <= for_ms < times.accept_until_ms
             ],
         )
 
@@ -285,7 +287,10 @@
     if service is None or time_left_ms is None or not time_left_ms.isdigit():
         return None
     call = decode_call(req)
-    account, resume_after = find_header(req.headers, HOP_ACCOUNT), find_header(req.headers, HOP_RESUME_AFTER)
+    account, resume_after = (
+        find_header(req.headers, HOP_ACCOUNT),
+        find_header(req.headers, HOP_RESUME_AFTER),
+    )
     route = Route(name="hop", host="", prefix="/", repeat=Repeat.ONCE, targets=())
     return AdmittedRequest(
         call=call,
--- a/src/hickorybeam/gateway/request_handler.py
+++ b/src/hickorybeam/gateway/request_handler.py
@@ -11,14 +11,19 @@
 from hickorybeam.gateway.admission import Admission
 from hickorybeam.gateway.attempt import ToPeer, ToServer
 from hickorybeam.gateway.final_responses import Endings
-from hickorybeam.gateway.placement_coordinator import PlacementCoordinator
-from hickorybeam.gateway.service_queue import ServiceQueues
+from hickorybeam.gateway.local_placement import LocalPlacement
 from hickorybeam.gateway.placement_client import PlaceAsker
-from hickorybeam.gateway.placement_messages import PlacementResponse, HeldPlacements, PlacementUpdate, PlacementRequest
-from hickorybeam.gateway.target_selector import Full, Nowhere, OpenTargets, TargetSelector
+from hickorybeam.gateway.placement_coordinator import PlacementCoordinator
+from hickorybeam.gateway.placement_messages import (
+    HeldPlacements,
+    PlacementRequest,
+    PlacementResponse,
+    PlacementUpdate,
+)
 from hickorybeam.gateway.progress import Progress, name_of
-from hickorybeam.gateway.local_placement import LocalPlacement
 from hickorybeam.gateway.sender import Sending
+from hickorybeam.gateway.service_queue import ServiceQueues
+from hickorybeam.gateway.target_selector import Full, Nowhere, OpenTargets, TargetSelector
 from hickorybeam.model.routing import Repeat
 from hickorybeam.platform import decode_call
 from hickorybeam.policy.fleet_retry_budget import FleetRetryBudget, FleetRetryLimits
@@ -68,7 +73,9 @@
         self._fleet = fleet
         self._budgets: dict[str, FleetRetryBudget] = {}
         self._lines = ServiceQueues(clock)
-        self._admission = Admission(clock=clock, routing_state=feed.routing_state, quota=fleet.quota)
+        self._admission = Admission(
+            clock=clock, routing_state=feed.routing_state, quota=fleet.quota
+        )
         self._placing = TargetSelector(
             shutdown=shutdown_times(cfg),
             clock=clock,
@@ -119,7 +126,9 @@
         self._budget(errand.service).record_request(self._clock.now(), self._fleet.known_vm_count())
         await self.handle_admitted(errand, reply)
 
-    async def handle_admitted(self, errand: AdmittedRequest, reply: ResponseWriter, *, local_only: bool = False) -> None:
+    async def handle_admitted(
+        self, errand: AdmittedRequest, reply: ResponseWriter, *, local_only: bool = False
+    ) -> None:
         """Run an admitted request within its deadline, until its caller leaves.
 
         :param local_only: it came from another VM: one run, by a server of this region.
--- a/src/hickorybeam/gateway/routing_state.py
+++ b/src/hickorybeam/gateway/routing_state.py
@@ -88,7 +88,9 @@
         if limit is None:
             spec = self.config.services.get(server.service) if self.config else None
             per_s = spec.cold_per_s if spec else 0.0
-            limit = self._cold_limits[server.id] = ColdServerLimiter(rate_per_s=per_s, now_ms=now_ms)
+            limit = self._cold_limits[server.id] = ColdServerLimiter(
+                rate_per_s=per_s, now_ms=now_ms
+            )
         return limit
 
     def available_servers(self, service: str) -> list[ServerState]:
--- a/src/hickorybeam/gateway/sender.py
+++ b/src/hickorybeam/gateway/sender.py
@@ -16,11 +16,11 @@
 
     from hickorybeam.clock import Clock
     from hickorybeam.gateway.attempt import AdmittedRequest, Target
-    from hickorybeam.gateway.in_flight import Burden
     from hickorybeam.gateway.final_responses import Endings
+    from hickorybeam.gateway.in_flight import Burden
+    from hickorybeam.gateway.progress import Progress
     from hickorybeam.gateway.routing_state import RoutingState
     from hickorybeam.gateway.target_selector import TargetSelector
-    from hickorybeam.gateway.progress import Progress
     from hickorybeam.http1 import ResponseHead, UpstreamPool
     from hickorybeam.platform import ResponseInfo
     from hickorybeam.policy.server_choice import ServerState
@@ -52,7 +52,12 @@
         self._first_byte = counters.histogram("first_byte", "Time to the first byte", ("route",))
 
     async def send(
-        self, target: Target, errand: AdmittedRequest, progress: Progress, *, leave: Callable[[], bool]
+        self,
+        target: Target,
+        errand: AdmittedRequest,
+        progress: Progress,
+        *,
+        leave: Callable[[], bool],
     ) -> None:
         """Send once and take note of how it went; a good answer is passed on.
 
@@ -123,7 +128,9 @@
 
     def _first_byte_ms(self, errand: AdmittedRequest, progress: Progress) -> float | None:
         runs_left = errand.route.max_attempts - progress.runs - 1
-        return first_byte_timeout_ms(errand.route, attempts_left=runs_left, expected_ms=progress.foreseen_ms)
+        return first_byte_timeout_ms(
+            errand.route, attempts_left=runs_left, expected_ms=progress.foreseen_ms
+        )
 
     def _take_facts(self, standing: ServerState, facts: ResponseInfo) -> None:
         now = self._clock.now()
--- a/src/hickorybeam/gateway/target_selector.py
+++ b/src/hickorybeam/gateway/target_selector.py
@@ -14,10 +14,10 @@
 from hickorybeam.policy.server_choice import (
     ServerState,
     choose_server,
-    placement_cost_ms,
+    expected_wait_ms,
     interference_ms,
+    placement_cost_ms,
     uncached_prompt_tokens,
-    expected_wait_ms,
 )
 from hickorybeam.policy.server_speed import INITIAL_PREFILL_TOKENS_PER_MS
 from hickorybeam.policy.stale_load import WorkRate
@@ -28,10 +28,10 @@
     from hickorybeam.clock import Clock
     from hickorybeam.gateway.attempt import AdmittedRequest, Target
     from hickorybeam.gateway.fleet import FleetService
-    from hickorybeam.gateway.routing_state import RoutingState
-    from hickorybeam.gateway.service_queue import ServiceQueues
     from hickorybeam.gateway.peers import RemoteCandidate
     from hickorybeam.gateway.placement_client import Grant
+    from hickorybeam.gateway.routing_state import RoutingState
+    from hickorybeam.gateway.service_queue import ServiceQueues
     from hickorybeam.gateway.status_report import WaitForecast
     from hickorybeam.model.routing import RelayCall
     from hickorybeam.policy.cold_limit import ColdServerLimiter
@@ -132,7 +132,9 @@
         """Return for how long nothing has been found that could take a service's requests."""
         return now_ms - self._nothing_since.get(service, now_ms)
 
-    def _chosen(self, errand: AdmittedRequest, targets: OpenTargets, now: int) -> Target | Full | None:
+    def _chosen(
+        self, errand: AdmittedRequest, targets: OpenTargets, now: int
+    ) -> Target | Full | None:
         here: ServerState | Full | None = None
         if targets.here_only or self._allowed(errand, self._fleet.own_vm.region):
             here = self._choose_here(errand, targets, now)
@@ -153,12 +155,16 @@
         if isinstance(here, Full):
             return here.wait_ms
         call = errand.call
-        return placement_cost_ms(here, uncached_prompt_tokens(here, call.parts, call.prompt_tokens), now_ms)
+        return placement_cost_ms(
+            here, uncached_prompt_tokens(here, call.parts, call.prompt_tokens), now_ms
+        )
 
     def _in_time(self, standing: ServerState, errand: AdmittedRequest, now_ms: int) -> bool:
         """Whether a server could answer a request before its deadline."""
         call, pace = errand.call, standing.speed
-        to_read = standing.pending_prefill_tokens() + uncached_prompt_tokens(standing, call.parts, call.prompt_tokens)
+        to_read = standing.pending_prefill_tokens() + uncached_prompt_tokens(
+            standing, call.parts, call.prompt_tokens
+        )
         return can_finish(
             left_ms=errand.deadline_ms - now_ms,
             first_event_ms=pace.prefill_ms(to_read),
@@ -186,7 +192,9 @@
         size = size_of(call)
         with_room = [it for it in fresh if it.has_room(size, now_ms)]
         if fresh and not with_room:
-            return Full(self._lines.of(errand.service).policy.expected_wait_ms(errand.urgency, now_ms))
+            return Full(
+                self._lines.of(errand.service).policy.expected_wait_ms(errand.urgency, now_ms)
+            )
         found = choose_server(
             with_room,
             parts=call.parts,
@@ -292,12 +300,16 @@
 
     def _may_warm(self, standing: ServerState, now_ms: int) -> bool:
         owners = self._fleet.coordinators.cold_server_senders(standing.server)
-        return self._fleet.own_vm.name in owners and self._cold_limit(standing, now_ms).ready(now_ms)
+        return self._fleet.own_vm.name in owners and self._cold_limit(standing, now_ms).ready(
+            now_ms
+        )
 
     def _cold_limit(self, standing: ServerState, now_ms: int) -> ColdServerLimiter:
         return self._routing_state.cold_limit(standing.server, now_ms)
 
-    def _choose_away(self, errand: AdmittedRequest, targets: OpenTargets) -> tuple[ToPeer, float] | None:
+    def _choose_away(
+        self, errand: AdmittedRequest, targets: OpenTargets
+    ) -> tuple[ToPeer, float] | None:
         found = self._elsewhere(errand, targets, self._fleet.remote_candidates(errand.service))
         if not found:
             found = self._elsewhere(errand, targets, self._finishing(errand))
@@ -350,7 +362,9 @@
         if standing is None or len(parts) < 2 or not standing.prefixes.uncached_tokens(parts[:-1]):
             return None
         now = self._clock.now()
-        holder = self._routing_state.server_states.get(self._fleet.prefix_holders.find_holder(parts, now) or "")
+        holder = self._routing_state.server_states.get(
+            self._fleet.prefix_holders.find_holder(parts, now) or ""
+        )
         if holder is None or holder is standing or holder.backoff_until_ms > now:
             return None
         if holder.server.leaving or holder.server.service != standing.server.service:
@@ -366,7 +380,9 @@
             usable = self._usable(service, now)
             free = [it for it in usable if it.has_room(0, now)]
             if free:
-                found[service] = min((round(expected_wait_ms(it, 0, now)), it.in_flight(now)) for it in free)
+                found[service] = min(
+                    (round(expected_wait_ms(it, 0, now)), it.in_flight(now)) for it in free
+                )
             elif usable:
                 wait = self._lines.of(service).policy.expected_wait_ms(0, now) + FULL_MS
                 found[service] = (round(wait), min(it.in_flight(now) for it in usable))
--- a/src/hickorybeam/once/attempt.py
+++ b/src/hickorybeam/once/attempt.py
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from collections.abc import AsyncGenerator, AsyncIterator
 
-    from hickorybeam.model import ResponsePart, Call
+    from hickorybeam.model import Call, ResponsePart
     from hickorybeam.ports import Dispatch
 
 __all__ = ("Attempt", "Ending")
--- a/src/hickorybeam/once/service.py
+++ b/src/hickorybeam/once/service.py
@@ -32,7 +32,7 @@
 
     from hickorybeam.clock import Clock
     from hickorybeam.kernel import Kernel, Started
-    from hickorybeam.model import ResponsePart, Call, EntryVm
+    from hickorybeam.model import Call, EntryVm, ResponsePart
     from hickorybeam.settings import Settings
     from hickorybeam.telemetry import Counters
 
--- a/src/hickorybeam/peers/client.py
+++ b/src/hickorybeam/peers/client.py
@@ -126,7 +126,9 @@
                 raise _unreachable(address, type(exc).__name__, ran) from exc
         return _body(reply)
 
-    async def forward(self, address: Address, request: Forward) -> AsyncGenerator[ResponsePart, None]:
+    async def forward(
+        self, address: Address, request: Forward
+    ) -> AsyncGenerator[ResponsePart, None]:
         """Send a call and yield the answer's parts; closing the iterator cancels it there."""
         ended = False
         with self._links.channel(address) as channel, self._failures(address, channel) as progress:
--- a/src/hickorybeam/peers/service.py
+++ b/src/hickorybeam/peers/service.py
@@ -27,7 +27,7 @@
 
     from hickorybeam.clock import Clock
     from hickorybeam.kernel import Kernel, Started
-    from hickorybeam.model import ResponsePart, Call, EntryVm, VmId
+    from hickorybeam.model import Call, EntryVm, ResponsePart, VmId
     from hickorybeam.peers.conversation import Conversation
     from hickorybeam.settings import Settings
     from hickorybeam.telemetry import Counters
--- a/src/hickorybeam/peers/wire.py
+++ b/src/hickorybeam/peers/wire.py
@@ -7,7 +7,7 @@
 from hickorybeam.errors import ErrorKind, GatewayError, Ran
 
 # Needed at run time: msgspec reads the field types when it encodes.
-from hickorybeam.model import ResponseChunk, ResponseEnd, ResponseHead, Call, VmId  # noqa: TC001
+from hickorybeam.model import Call, ResponseChunk, ResponseEnd, ResponseHead, VmId  # noqa: TC001
 
 __all__ = (
     "Answered",
--- a/src/hickorybeam/policy/at_most_once.py
+++ b/src/hickorybeam/policy/at_most_once.py
@@ -21,7 +21,7 @@
 from hickorybeam.model import VmId  # noqa: TC001 - msgspec reads the annotation
 
 if TYPE_CHECKING:
-    from hickorybeam.model import ResponsePart, Call
+    from hickorybeam.model import Call, ResponsePart
 
 __all__ = (
     "Claim",
--- a/src/hickorybeam/shares/ledger.py
+++ b/src/hickorybeam/shares/ledger.py
@@ -14,11 +14,11 @@
     GroupLedger,
     GroupShares,
     Holder,
+    claim_free_parts,
     create_accounts,
     group_of,
     planned_holders,
     release_parts,
-    claim_free_parts,
     take_over,
 )
 from hickorybeam.policy.spending_lease import SpendingLease, TakeOverMonitor
--- a/src/hickorybeam/shares/messages.py
+++ b/src/hickorybeam/shares/messages.py
@@ -62,7 +62,9 @@
     """Tells a VM that the ledger has more for it, so that it reads now; also the reply."""
 
 
-LOANS: Topic[LoanRequest, LoanReply] = Topic("share.loans", LoanRequest, LoanReply, shared_stream=True)
+LOANS: Topic[LoanRequest, LoanReply] = Topic(
+    "share.loans", LoanRequest, LoanReply, shared_stream=True
+)
 STANDING: Topic[StandingRequest, StandingReply] = Topic(
     "share.standing", StandingRequest, StandingReply
 )
--- a/src/hickorybeam/shares/service.py
+++ b/src/hickorybeam/shares/service.py
@@ -367,7 +367,9 @@
             self._resize()
 
     def _resize(self) -> None:
-        self._books.apply_parts(self._keeper.usable_parts, self._keeper.initial_parts, self._clock.now())
+        self._books.apply_parts(
+            self._keeper.usable_parts, self._keeper.initial_parts, self._clock.now()
+        )
 
     @property
     def _keeper(self) -> LedgerKeeper:
@@ -408,9 +410,13 @@
             for name, parts in ledger.parts_of(self._keeper.me.vm).items()
             if parts and name in accounts
         }
-        return plan_transfers(ledger, self._keeper.me, planned, demands, floor=self._cfg.shares.floor)
+        return plan_transfers(
+            ledger, self._keeper.me, planned, demands, floor=self._cfg.shares.floor
+        )
 
-    def _demand(self, account: ClientAccount, planned: tuple[Holder, ...], now: int) -> AccountDemand:
+    def _demand(
+        self, account: ClientAccount, planned: tuple[Holder, ...], now: int
+    ) -> AccountDemand:
         lent = {
             holder: rate
             for holder in planned
--- a/src/hickorybeam/standins/server.py
+++ b/src/hickorybeam/standins/server.py
@@ -197,7 +197,9 @@
                 reply.send_raw(response_head_bytes(200, other, length=5, close=False) + b"other")
             reply.send(200, headers, b"done by " + self.id.encode())
 
-    async def _stream(self, req: IncomingRequest, reply: ResponseWriter, headers: RawHeaders) -> None:
+    async def _stream(
+        self, req: IncomingRequest, reply: ResponseWriter, headers: RawHeaders
+    ) -> None:
         first = int(find_header(req.headers, names.LAST_EVENT) or 0) + 1
         reply.start(200, (*headers, EVENT_STREAM))
         for number in range(first, self.events + 1):
--- a/src/hickorybeam/store/port.py
+++ b/src/hickorybeam/store/port.py
@@ -134,8 +134,8 @@
 class PacedPlatform(Platform, Protocol):
     """A platform whose watches are made of calls, which are counted.
 
-    ``watch_poll_timeout_ms`` is how long one call may wait, ``watch_pause_ms`` the pause after one that
-    brought changes.
+    ``watch_poll_timeout_ms`` is how long one call may wait, ``watch_pause_ms`` the pause after one
+    that brought changes.
     """
 
     watch_poll_timeout_ms: int
--- a/tests/steps/backends/rig.py
+++ b/tests/steps/backends/rig.py
@@ -13,15 +13,15 @@
 from hickorybeam.errors import GatewayError
 from hickorybeam.kernel import Kernel, Service
 from hickorybeam.model import (
-    ResponseChunk,
-    ResponseEnd,
-    ResponseHead,
     BackendKind,
     BackendServer,
     Call,
     CallKind,
     ConfigState,
     PlainService,
+    ResponseChunk,
+    ResponseEnd,
+    ResponseHead,
     Versioned,
     ref_of,
 )
--- a/tests/steps/dispatch/fakes.py
+++ b/tests/steps/dispatch/fakes.py
@@ -9,9 +9,6 @@
 from hickorybeam.errors import ErrorKind, GatewayError
 from hickorybeam.kernel import Kernel, Service
 from hickorybeam.model import (
-    ResponseChunk,
-    ResponseEnd,
-    ResponseHead,
     BackendKind,
     BackendServer,
     Call,
@@ -24,6 +21,9 @@
     PlainService,
     Region,
     ResidencyRule,
+    ResponseChunk,
+    ResponseEnd,
+    ResponseHead,
     Usage,
     Versioned,
     VmId,
--- a/tests/steps/gateway/gateway_steps.py
+++ b/tests/steps/gateway/gateway_steps.py
@@ -19,7 +19,7 @@
 from hickorybeam.settings import load_settings
 from hickorybeam.standins.deployment import HOST, KEYS, caller_headers, first_config
 from hickorybeam.store import KeyValue, Put, WatchBatch
-from support.gateway import remove_account, executed_requests, small_gateway, withdraw_key
+from support.gateway import executed_requests, remove_account, small_gateway, withdraw_key
 
 BODY = b"{}"
 
@@ -278,7 +278,9 @@
 
 @then('"{service}" ran {count:d} requests')
 def step_ran(context, service, count):
-    assert len(executed_requests(context.rig, service)) == count, executed_requests(context.rig, service)
+    assert len(executed_requests(context.rig, service)) == count, executed_requests(
+        context.rig, service
+    )
 
 
 @then('server "{name}" ran {count:d} requests')
@@ -334,7 +336,9 @@
         rig = context.rig
         rig.app.put(f"op/evacuate/{data_centre}", b"{}")
         await rig.until(
-            lambda: all(data_centre in vm.routing_state.evacuated_data_centres for vm in rig.vms.values())
+            lambda: all(
+                data_centre in vm.routing_state.evacuated_data_centres for vm in rig.vms.values()
+            )
         )
 
     context.call(evacuate)
@@ -345,7 +349,9 @@
     async def back():
         rig = context.rig
         rig.app.delete(f"op/evacuate/{data_centre}")
-        await rig.until(lambda: not any(vm.routing_state.evacuated_data_centres for vm in rig.vms.values()))
+        await rig.until(
+            lambda: not any(vm.routing_state.evacuated_data_centres for vm in rig.vms.values())
+        )
 
     context.call(back)
 
@@ -356,7 +362,9 @@
         rig = context.rig
         rig.servers[name].register(state="draining")
         await rig.until(
-            lambda: all(vm.routing_state.server_states[name].server.leaving for vm in rig.vms.values())
+            lambda: all(
+                vm.routing_state.server_states[name].server.leaving for vm in rig.vms.values()
+            )
         )
 
     context.call(leaving)
@@ -529,7 +537,9 @@
 @then('"{vm}" drops server "{name}" within {limit:d} s')
 def step_drops(context, vm, name, limit):
     routing_state = context.rig.vms[vm].routing_state
-    context.call(lambda: context.rig.until(lambda: name not in routing_state.server_states, limit_s=limit))
+    context.call(
+        lambda: context.rig.until(lambda: name not in routing_state.server_states, limit_s=limit)
+    )
 
 
 @when('the registration of "{vm}" lapses')
@@ -1157,8 +1167,6 @@
         rig = context.rig
         rig.vms[gone].kill()
         peers = rig.vms[vm].fleet.peers
-        await rig.until(
-            lambda: gone not in peers.by_name or not peers.is_live(peers.by_name[gone])
-        )
+        await rig.until(lambda: gone not in peers.by_name or not peers.is_live(peers.by_name[gone]))
 
     context.call(crash)
--- a/tests/steps/gateway/placing_steps.py
+++ b/tests/steps/gateway/placing_steps.py
@@ -8,7 +8,12 @@
 from behave import given, then, when
 
 from hickorybeam.clock import SystemClock
-from hickorybeam.gateway.placement_messages import PlacementResponse, HeldPlacements, PlacementUpdate, PlacementRequest
+from hickorybeam.gateway.placement_messages import (
+    HeldPlacements,
+    PlacementRequest,
+    PlacementResponse,
+    PlacementUpdate,
+)
 from support.gateway import executed_requests, small_gateway
 
 LEAVES_AFTER_S = 0.004
@@ -142,7 +147,12 @@
 
     def lossy(say):
         def said(vm, word):
-            if not isinstance(word, PlacementRequest | PlacementResponse | PlacementUpdate | HeldPlacements) or next(numbers) % 3:
+            if (
+                not isinstance(
+                    word, PlacementRequest | PlacementResponse | PlacementUpdate | HeldPlacements
+                )
+                or next(numbers) % 3
+            ):
                 say(vm, word)
 
         return said
@@ -183,7 +193,14 @@
 def step_nothing_left(context, limit):
     def nothing():
         return all(
-            (it.own_requests, it.own_prefill_tokens, it.own_held_tokens, it.granted_requests, it.granted_prefill_tokens, it.granted_held_tokens)
+            (
+                it.own_requests,
+                it.own_prefill_tokens,
+                it.own_held_tokens,
+                it.granted_requests,
+                it.granted_prefill_tokens,
+                it.granted_held_tokens,
+            )
             == (0,) * 6
             for vm in context.rig.vms.values()
             for it in vm.routing_state.server_states.values()
--- a/tests/steps/once/fakes.py
+++ b/tests/steps/once/fakes.py
@@ -12,9 +12,6 @@
 from hickorybeam.errors import ErrorKind, GatewayError, Ran
 from hickorybeam.kernel import Started
 from hickorybeam.model import (
-    ResponseChunk,
-    ResponseEnd,
-    ResponseHead,
     Call,
     CallKind,
     ClientAccount,
@@ -22,6 +19,9 @@
     EntryVm,
     Region,
     ResidencyRule,
+    ResponseChunk,
+    ResponseEnd,
+    ResponseHead,
     Versioned,
     VmId,
     ref_of,
--- a/tests/steps/peers/decision_steps.py
+++ b/tests/steps/peers/decision_steps.py
@@ -281,7 +281,9 @@
 def step_told_none(context, centre, allowed):
     regions = None if allowed == "unknown" else frozenset(allowed.split(","))
     assert (
-        entry_order(context.vms, region="dakar", data_centre=centre, allowed=regions, caller_key="tour")
+        entry_order(
+            context.vms, region="dakar", data_centre=centre, allowed=regions, caller_key="tour"
+        )
         == ()
     )
 
--- a/tests/steps/peers/transport_steps.py
+++ b/tests/steps/peers/transport_steps.py
@@ -9,12 +9,12 @@
 
 from hickorybeam.errors import ErrorKind, GatewayError, Ran
 from hickorybeam.model import (
-    ResponseChunk,
-    ResponseEnd,
     ClientKey,
     ObjectKind,
     ObjectRef,
     Region,
+    ResponseChunk,
+    ResponseEnd,
     Versioned,
     VmId,
 )
--- a/tests/steps/policy/gateway_decisions_steps.py
+++ b/tests/steps/policy/gateway_decisions_steps.py
@@ -12,9 +12,9 @@
     Route,
     WeightedService,
 )
-from hickorybeam.policy.fleet_retry_budget import FleetRetryBudget, FleetRetryLimits
 from hickorybeam.policy.cold_limit import ColdServerLimiter, cold_server_owners
 from hickorybeam.policy.first_byte_timeout import first_byte_timeout_ms
+from hickorybeam.policy.fleet_retry_budget import FleetRetryBudget, FleetRetryLimits
 from hickorybeam.policy.route_table import RouteTable, pick_target
 from hickorybeam.policy.server_choice import ServerState, choose_server, expected_wait_ms
 
@@ -103,7 +103,9 @@
 def step_cold(context, per_s, vms):
     names = [f"vm-{number}" for number in range(vms)]
     context.cold = [
-        ColdServerLimiter(rate_per_s=per_s, now_ms=NOW) for name in names if name in cold_server_owners("i-1", names)
+        ColdServerLimiter(rate_per_s=per_s, now_ms=NOW)
+        for name in names
+        if name in cold_server_owners("i-1", names)
     ]
 
 
--- a/tests/steps/policy/share_machine.py
+++ b/tests/steps/policy/share_machine.py
@@ -20,8 +20,8 @@
     GroupShares,
     Holder,
     create_accounts,
-    transfer_parts,
     take_over,
+    transfer_parts,
 )
 from hickorybeam.policy.token_bucket import TokenBucket
 
@@ -131,7 +131,11 @@
     def take_over_dead(self, number):
         """Loans that the dead VM granted right before it died have run out by then."""
         vm = self.vms[number]
-        if not self.awake(number) or vm.shares.write_in_doubt or vm.shares.revision != self.revision:
+        if (
+            not self.awake(number)
+            or vm.shares.write_in_doubt
+            or vm.shares.revision != self.revision
+        ):
             return
         for holder, since in self.dead.items():
             if self.now - since >= LOAN_MS + MARGIN_MS:
@@ -252,10 +256,16 @@
             return
         burst = TERMS[vm.terms][1]
         vm.lender.expire({ACCOUNT: vm.bucket}, self.now)
-        keep = int(vm.bucket.lent_capacity / burst * PARTS_PER_ACCOUNT) + 1 if vm.bucket.lent_capacity > 0 else 0
+        keep = (
+            int(vm.bucket.lent_capacity / burst * PARTS_PER_ACCOUNT) + 1
+            if vm.bucket.lent_capacity > 0
+            else 0
+        )
         parts = min(parts, vm.shares.usable_parts(ACCOUNT) - keep)
         level = vm.bucket.level(self.now)
-        planned = transfer_parts(vm.shares.ledger, vm.holder, self.vms[other].holder, ACCOUNT, parts, level)
+        planned = transfer_parts(
+            vm.shares.ledger, vm.holder, self.vms[other].holder, ACCOUNT, parts, level
+        )
         if planned == vm.shares.ledger:
             return
         for tokens in vm.shares.shrink_to(planned).values():
--- a/tests/steps/policy/share_parts_steps.py
+++ b/tests/steps/policy/share_parts_steps.py
@@ -11,8 +11,8 @@
     GroupShares,
     Holder,
     HolderParts,
-    transfer_parts,
     take_over,
+    transfer_parts,
 )
 from hickorybeam.policy.spending_lease import TakeOverMonitor
 from hickorybeam.policy.token_bucket import TokenBucket
@@ -145,7 +145,10 @@
         ledger = plan_transfers(ledger, holder(name), planned, {"acme": demand}, floor=0.05)
     context.plan = ledger
     assert ledger.parts(borrower.vm, "acme") > 0
-    assert ledger.parts(holder(name).vm, "acme") + ledger.parts(borrower.vm, "acme") == PARTS_PER_ACCOUNT
+    assert (
+        ledger.parts(holder(name).vm, "acme") + ledger.parts(borrower.vm, "acme")
+        == PARTS_PER_ACCOUNT
+    )
 
 
 @then('the plan leaves "{name}" at least {parts:d} parts')
--- a/tests/steps/policy/spread_fleet.py
+++ b/tests/steps/policy/spread_fleet.py
@@ -8,11 +8,11 @@
 from hickorybeam.model.routing import AccountTerms
 from hickorybeam.policy.fleet_quota import FleetQuota
 from hickorybeam.policy.report_intervals import (
-    local_report_interval_ms,
-    jittered_interval_ms,
-    remote_report_interval_ms,
     isolation_timeout_ms,
+    jittered_interval_ms,
+    local_report_interval_ms,
     quota_peer_timeout_ms,
+    remote_report_interval_ms,
 )
 
 __all__ = ("BURST", "RATE", "WINDOW_MS", "SpreadFleet")
@@ -41,7 +41,9 @@
         self.outside_ms = remote_report_interval_ms(size)
         self.alone_ms = quota_peer_timeout_ms(local_peers=size // centres - 1, vms=size)
         self.quiet_ms = isolation_timeout_ms(size // centres - 1)
-        self.vms = [FleetQuota(allowance=allowance, peer_timeout_ms=self.alone_ms) for _ in range(size)]
+        self.vms = [
+            FleetQuota(allowance=allowance, peer_timeout_ms=self.alone_ms) for _ in range(size)
+        ]
         for vm in self.vms:
             vm.configure([AccountTerms(name=NAME, rate_per_s=RATE, burst=BURST)], self.now)
         # All started together.
@@ -78,7 +80,9 @@
                 self.tell(index, index % self.centres, self.vms[index].spent_totals())
                 self.notice(index)
             if self.now >= self.next_outside[index]:
-                self.next_outside[index] = self.now + jittered_interval_ms(self.outside_ms, self.rng)
+                self.next_outside[index] = self.now + jittered_interval_ms(
+                    self.outside_ms, self.rng
+                )
                 self.tell_outside(index)
         while self.on_their_way and self.on_their_way[0][0] <= self.now:
             _, index, centre, totals = heapq.heappop(self.on_their_way)
--- a/tests/steps/shares/fakes.py
+++ b/tests/steps/shares/fakes.py
@@ -461,7 +461,9 @@
                     acting += node.budget._keeper.usable_parts(terms.name)
                 bucket = node.budget._books.buckets.get(terms.name)
                 if bucket and bucket.lent_capacity > bucket.capacity + 1e-6 and not self.lowered:
-                    self.faults.append((self.clock.now(), node.vm.id.name, "lent", bucket.lent_capacity))
+                    self.faults.append(
+                        (self.clock.now(), node.vm.id.name, "lent", bucket.lent_capacity)
+                    )
             if acting > PARTS_PER_ACCOUNT:
                 self.faults.append((self.clock.now(), "fleet", "acting", acting))
 
