--- a/bench/silence.py
+++ b/bench/silence.py
@@ -28,16 +28,16 @@
 async def engine_before_first_byte(rig: backends.Rig) -> int:
     """Return ms until a call to an engine that took it and said nothing is given up."""
     rig.engine.app.faults.set(Fault(kind=FaultKind.ACCEPT_SILENT, count=1))
-    got = await rig.read(rig.engine_call(), rig.servers["engine"])
+    got = await rig.run_call(rig.engine_call(), rig.servers["engine"])
     assert got.error is not None
     return got.took_ms
 
 
 async def engine_in_stream(rig: backends.Rig) -> int:
     """Return ms that a silence in mid-stream adds to a stream that is then whole."""
-    whole = await rig.read(rig.engine_call(tokens=TOKENS), rig.servers["engine"])
+    whole = await rig.run_call(rig.engine_call(tokens=TOKENS), rig.servers["engine"])
     rig.engine.app.faults.set(Fault(kind=FaultKind.SILENT, after=3, count=1))
-    got = await rig.read(rig.engine_call(tokens=TOKENS), rig.servers["engine"])
+    got = await rig.run_call(rig.engine_call(tokens=TOKENS), rig.servers["engine"])
     assert got.error is None
     assert got.tokens == TOKENS
     return got.took_ms - whole.took_ms
@@ -46,7 +46,7 @@
 async def plain_service(rig: backends.Rig) -> int:
     """Return ms until a call to a plain service that says nothing is given up."""
     rig.plain.app.faults.set(Fault(kind=FaultKind.ACCEPT_SILENT, count=1))
-    got = await rig.read(rig.plain_call("GET", "/bytes"), rig.servers["plain"])
+    got = await rig.run_call(rig.plain_call("GET", "/bytes"), rig.servers["plain"])
     assert got.error is not None
     return got.took_ms
 
@@ -94,7 +94,7 @@
     """Print the table."""
     print(f"{'connection':<34} {'limit':>7} {'median':>7} {'longest':>8}   ({times} each)")
     async with backends.Rig() as rig:
-        limits = backends.LIMITS
+        limits = backends.BACKEND_SETTINGS
         await line(
             "engine, before its first byte",
             limits.first_byte_ms,
--- a/src/hickorybeam/backends/caller.py
+++ b/src/hickorybeam/backends/caller.py
@@ -55,7 +55,7 @@
             says that it ran nothing.
         :raises ExchangeError: any other fault; the request may have run.
         """
-        conn = await self.pool.take(backend, fresh=fresh or not call.idempotent)
+        conn = await self.pool.acquire(backend, fresh=fresh or not call.idempotent)
         exchange = Exchange(self.pool, self.watchdog, conn, backend, between_ms=self.cfg.between_ms)
         try:
             await exchange.send(
--- a/src/hickorybeam/backends/exchange.py
+++ b/src/hickorybeam/backends/exchange.py
@@ -120,12 +120,12 @@
         """End the exchange; the connection is reused only after a whole answer."""
         self._watchdog.remove(self._watch)
         if self._conn.http.reusable:
-            self._pool.give_back(self._conn)
+            self._pool.release(self._conn)
             return
         with anyio.CancelScope(shield=True):
             await self._conn.http.aclose()
             if self._watch.expired:
-                await self._pool.forget(self._backend)
+                await self._pool.close_idle(self._backend)
 
     def _on_silence(self) -> None:
         # The read that waits returns at once, as if the other end had closed.
--- a/src/hickorybeam/backends/pool.py
+++ b/src/hickorybeam/backends/pool.py
@@ -62,7 +62,7 @@
         """Return how many connections to a backend server are idle."""
         return len(self._idle.get((backend.host, backend.port), ()))
 
-    async def take(self, backend: BackendServer, *, fresh: bool) -> Connection:
+    async def acquire(self, backend: BackendServer, *, fresh: bool) -> Connection:
         """Return a connection that nobody else uses.
 
         :param fresh: never reuse; for calls that may not be repeated, since the other end may
@@ -77,14 +77,14 @@
                 return conn
         return await self._open(address, backend.name)
 
-    def give_back(self, conn: Connection) -> None:
+    def release(self, conn: Connection) -> None:
         """Keep a connection whose answer was read to its end."""
         idle = self._idle.setdefault(conn.address, deque(maxlen=IDLE_PER_SERVER))
         conn.idle_since_ms = self._clock.now()
         conn.reused = True
         idle.append(conn)
 
-    async def forget(self, backend: BackendServer) -> None:
+    async def close_idle(self, backend: BackendServer) -> None:
         """Close every idle connection to a backend server that fell silent on one."""
         for conn in self._idle.pop((backend.host, backend.port), ()):
             await conn.close()
--- a/tests/steps/backends/rig.py
+++ b/tests/steps/backends/rig.py
@@ -31,10 +31,10 @@
 from hickorybeam.standins.batch import EngineShape
 from hickorybeam.telemetry import Counters
 
-LIMITS = BackendSettings(
+BACKEND_SETTINGS = BackendSettings(
     connect_timeout_ms=300, first_byte_ms=400, between_ms=200, report_every_ms=50, idle_ms=60_000
 )
-QUICK = EngineShape(step_ms=1.0, per_sequence_ms=0.1, load_lag_ms=20)
+FAST_ENGINE = EngineShape(step_ms=1.0, per_sequence_ms=0.1, load_lag_ms=20)
 
 
 class FakeConfig(Service):
@@ -122,7 +122,7 @@
     async def __aenter__(self):
         self.stack = await AsyncExitStack().__aenter__()
         enter = self.stack.enter_async_context
-        self.engine = await enter(engine.serve(models=("small",), shape=QUICK))
+        self.engine = await enter(engine.serve(models=("small",), shape=FAST_ENGINE))
         self.plain = await enter(plain.serve())
         self.servers = {
             "engine": self.server("engine", BackendKind.ENGINE, self.engine.port, "small"),
@@ -133,7 +133,7 @@
         cfg = Settings(
             vm=VmSettings(name="vm", region="here", data_centre="dc"),
             platform=PlatformSettings(urls=()),
-            backends=LIMITS,
+            backends=BACKEND_SETTINGS,
         )
         self.backends = BackendsService(cfg=cfg, clock=self.clock, counters=self.counters)
         self.kernel = kernel = Kernel(self.clock)
@@ -180,7 +180,7 @@
         fields = {"deadline_ms": 2_000} | fields
         return Call(request_id=f"r{self.calls}", account="family", key_digest="digest", **fields)
 
-    async def read(self, call, backend, *, stop_after=None):
+    async def run_call(self, call, backend, *, stop_after=None):
         got = Got()
         begun = self.clock.now()
         try:
--- a/tests/steps/front/rig.py
+++ b/tests/steps/front/rig.py
@@ -5,7 +5,7 @@
 from contextlib import AsyncExitStack, aclosing
 
 import anyio
-from tests.steps.backends.rig import QUICK, FakeConfig
+from tests.steps.backends.rig import FAST_ENGINE, FakeConfig
 
 from hickorybeam.backends import BackendsService
 from hickorybeam.clock import SystemClock
@@ -150,7 +150,7 @@
     async def __aenter__(self):
         self.stack = await AsyncExitStack().__aenter__()
         enter = self.stack.enter_async_context
-        self.engine = await enter(engine.serve(models=("small",), shape=QUICK))
+        self.engine = await enter(engine.serve(models=("small",), shape=FAST_ENGINE))
         self.plain = await enter(plain.serve())
         cfg = Settings(
             vm=VmSettings(name="vm-1", region="here", data_centre="dc"),
