--- a/src/hickorybeam/backends/cancels.py
+++ b/src/hickorybeam/backends/cancels.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from hickorybeam.backends.caller import Caller, Outgoing
 from hickorybeam.backends.exchange import ExchangeError
+from hickorybeam.backends.http_client import HttpClient, HttpRequest
 from hickorybeam.errors import GatewayError
 from hickorybeam.kernel import Mailbox
 from hickorybeam.model import Call, CallKind
@@ -16,35 +16,35 @@
 
     from hickorybeam.model import BackendServer
 
-__all__ = ("Cancel", "Canceller")
+__all__ = ("CancelRequest", "StreamCanceller")
 
 CANCEL_TIMEOUT_MS = 1_000
-MAX_WAITING = 4_096
-MAX_ANSWER_BYTES = 10_000
+MAX_QUEUED_CANCELS = 4_096
+MAX_RESPONSE_BYTES = 10_000
 
 
 @dataclass(frozen=True, slots=True)
-class Cancel:
+class CancelRequest:
     """One stream to stop."""
 
     backend: BackendServer
     stream_id: str
 
 
-class Canceller:
+class StreamCanceller:
     """A task that owns the cancel calls, so that closing an answer never waits for one.
 
     A cancel that is lost costs the engine the rest of one answer, so it is not repeated.
     """
 
-    def __init__(self, caller: Caller, *, sent: Counter) -> None:
-        self._caller = caller
+    def __init__(self, client: HttpClient, *, sent: Counter) -> None:
+        self._client = client
         self._sent = sent
-        self._mailbox: Mailbox[Cancel] = Mailbox(size=MAX_WAITING)
+        self._mailbox: Mailbox[CancelRequest] = Mailbox(size=MAX_QUEUED_CANCELS)
 
     def post(self, backend: BackendServer, stream_id: str) -> None:
         """Ask for a stream to be stopped."""
-        if not self._mailbox.post(Cancel(backend, stream_id)):
+        if not self._mailbox.post(CancelRequest(backend, stream_id)):
             self._sent.labels("dropped").inc()
 
     async def run(self) -> None:
@@ -52,21 +52,21 @@
         async for cancel in self._mailbox:
             await self._send(cancel)
 
-    async def _send(self, cancel: Cancel) -> None:
+    async def _send(self, cancel: CancelRequest) -> None:
         backend = cancel.backend
         call = Call(request_id="cancel", account="", key_digest="", kind=CallKind.PLAIN, served="")
-        request = Outgoing(
+        request = HttpRequest(
             method="DELETE",
             target=f"/streams/{cancel.stream_id}".encode(),
             headers=[(b"host", f"{backend.host}:{backend.port}".encode())],
         )
         try:
-            exchange = await self._caller.open(
-                call, backend, request, first_byte_ms=CANCEL_TIMEOUT_MS
+            exchange = await self._client.open(
+                call, backend, request, first_byte_timeout_ms=CANCEL_TIMEOUT_MS
             )
             try:
-                exchange.expect()
-                await exchange.read(MAX_ANSWER_BYTES)
+                exchange.start_read_timeout()
+                await exchange.read(MAX_RESPONSE_BYTES)
             finally:
                 await exchange.close()
         except (ExchangeError, GatewayError):
--- a/src/hickorybeam/backends/engine.py
+++ b/src/hickorybeam/backends/engine.py
@@ -6,9 +6,14 @@
 
 import msgspec
 
-from hickorybeam.backends.caller import Caller, Outgoing, fault, lost
 from hickorybeam.backends.exchange import Exchange, ExchangeError
-from hickorybeam.backends.headers import engine_headers, returned
+from hickorybeam.backends.headers import engine_headers, returned_headers
+from hickorybeam.backends.http_client import (
+    HttpClient,
+    HttpRequest,
+    lost_response_error,
+    possibly_run_error,
+)
 from hickorybeam.backends.sse import SseReader, usage_of
 from hickorybeam.errors import ErrorKind, GatewayError
 from hickorybeam.model import CallKind, ResponseChunk, ResponseEnd, ResponseHead, ResponsePart
@@ -29,44 +34,46 @@
 OK = 200
 # An engine whose connections break again and again is given up; dispatch then decides.
 MAX_RESUMES = 3
-MAX_WHOLE_BYTES = 16_000_000
+MAX_BODY_BYTES = 16_000_000
 
 
 class EngineCall:
     """One streamed call and where it stands."""
 
     def __init__(
-        self, caller: Caller, call: Call, backend: BackendServer, retries: Counter
+        self, client: HttpClient, call: Call, backend: BackendServer, retries: Counter
     ) -> None:
         self.stream_id = ""
-        self._caller = caller
+        self._client = client
         self._call = call
         self._backend = backend
         self._retries = retries
         self._resumes = 0
         self._host = f"{backend.host}:{backend.port}".encode()
-        body, strip_usage = with_usage(call)
+        body, strip_usage = body_requesting_usage(call)
         self._body = body
         self.reader = SseReader(strip_usage=strip_usage)
         self.exchange: Exchange | None = None
 
     async def open(self) -> Exchange:
         """Send the call to the engine."""
-        request = Outgoing(
+        request = HttpRequest(
             method="POST",
             target=PATHS[self._call.kind],
             headers=engine_headers(self._call, self._host),
             body=self._body,
         )
-        limit = self._call.deadline_ms
+        timeout_ms = self._call.deadline_ms
         if self._call.stream:
-            limit = min(limit, self._caller.cfg.first_byte_ms)
+            timeout_ms = min(timeout_ms, self._client.cfg.first_byte_ms)
         try:
-            self.exchange = await self._caller.open(
-                self._call, self._backend, request, first_byte_ms=limit
+            self.exchange = await self._client.open(
+                self._call, self._backend, request, first_byte_timeout_ms=timeout_ms
             )
         except ExchangeError as exc:
-            raise lost(self._call, self._backend, exc, begun=False) from exc
+            raise lost_response_error(
+                self._call, self._backend, exc, response_started=False
+            ) from exc
         self.stream_id = self.exchange.header(b"x-stream-id")
         return self.exchange
 
@@ -76,35 +83,35 @@
             assert self.exchange is not None
             try:
                 chunk = await self.exchange.next_chunk()
-                part = self._take(chunk)
+                part = self._parse(chunk)
             except (ExchangeError, ValueError) as exc:
-                await self._resume(exc if isinstance(exc, ExchangeError) else broken())
+                await self._resume(exc if isinstance(exc, ExchangeError) else broken_stream_error())
                 continue
             if part is not None:
                 return part
             if not chunk:
                 return None
 
-    def expect(self) -> None:
+    def start_read_timeout(self) -> None:
         """Start the limit for the next token."""
         if self.exchange is not None:
-            self.exchange.expect()
+            self.exchange.start_read_timeout()
 
     async def close(self) -> None:
         """Close the connection, if any."""
         if self.exchange is not None:
             await self.exchange.close()
 
-    def _take(self, chunk: bytes) -> ResponseChunk | None:
+    def _parse(self, chunk: bytes) -> ResponseChunk | None:
         if not chunk:
             if not self.reader.done:
-                raise broken()
+                raise broken_stream_error()
             return None
-        pieces = self.reader.feed(chunk)
-        if pieces is None or not pieces.data:
-            self.expect()
+        batch = self.reader.feed(chunk)
+        if batch is None or not batch.data:
+            self.start_read_timeout()
             return None
-        return ResponseChunk(pieces.data, pieces.events)
+        return ResponseChunk(batch.data, batch.events)
 
     async def _resume(self, exc: ExchangeError) -> None:
         """Go on at the same engine over a new connection, from the next token.
@@ -112,8 +119,10 @@
         The old connection is never asked again: once it has fallen silent it may stay so for
         good, while new ones work.
         """
-        begun = self.reader.position > 0
-        error = lost(self._call, self._backend, exc, begun=begun)
+        response_started = self.reader.position > 0
+        error = lost_response_error(
+            self._call, self._backend, exc, response_started=response_started
+        )
         self._resumes += 1
         if not self.stream_id or not self._call.idempotent or self._resumes > MAX_RESUMES:
             raise error
@@ -121,11 +130,11 @@
         self.exchange = None
         self._retries.labels("resume").inc()
         try:
-            exchange = await self._caller.open(
+            exchange = await self._client.open(
                 self._call,
                 self._backend,
                 self._resume_request(),
-                first_byte_ms=self._caller.cfg.between_ms,
+                first_byte_timeout_ms=self._client.cfg.between_ms,
                 fresh=True,
             )
         except (ExchangeError, GatewayError):
@@ -134,18 +143,18 @@
         if exchange.status != OK:
             raise error
         self.reader.resume()
-        self.expect()
+        self.start_read_timeout()
 
-    def _resume_request(self) -> Outgoing:
+    def _resume_request(self) -> HttpRequest:
         chat = int(self._call.kind is CallKind.CHAT)
         target = f"/streams/{self.stream_id}?from={self.reader.position}&chat={chat}&usage=1"
-        return Outgoing(
+        return HttpRequest(
             method="GET", target=target.encode(), headers=engine_headers(self._call, self._host)
         )
 
 
 async def run_engine(
-    caller: Caller,
+    client: HttpClient,
     call: Call,
     backend: BackendServer,
     *,
@@ -156,60 +165,60 @@
 
     :param cancel: told the stream's id when the answer is not read to its end.
     """
-    run = EngineCall(caller, call, backend, retries)
-    ended = False
+    engine_call = EngineCall(client, call, backend, retries)
+    response_complete = False
     try:
-        exchange = await run.open()
+        exchange = await engine_call.open()
         check_status(exchange, call, backend)
-        streamed = exchange.header(b"content-type").startswith(EVENT_STREAM)
-        if streamed and exchange.status == OK:
-            first = await run.next_part()
+        is_event_stream = exchange.header(b"content-type").startswith(EVENT_STREAM)
+        if is_event_stream and exchange.status == OK:
+            first = await engine_call.next_part()
             # The head waits for the first token: until then another engine may still serve.
-            yield ResponseHead(exchange.status, returned(exchange.headers))
+            yield ResponseHead(exchange.status, returned_headers(exchange.headers))
             part = first
             while part is not None:
                 yield part
-                if run.reader.done:
+                if engine_call.reader.done:
                     break
-                run.expect()
-                part = await run.next_part()
-            ended = True
-            await drain_end(run)
-            yield ResponseEnd(run.reader.usage, backend.name, backend.region)
+                engine_call.start_read_timeout()
+                part = await engine_call.next_part()
+            response_complete = True
+            await drain_body(engine_call)
+            yield ResponseEnd(engine_call.reader.usage, backend.name, backend.region)
             return
-        body = await whole_body(run, exchange, call, backend)
-        ended = True
-        yield ResponseHead(exchange.status, returned(exchange.headers))
-        usage = whole_usage(body, call, backend) if exchange.status == OK else None
+        body = await read_body(engine_call, exchange, call, backend)
+        response_complete = True
+        yield ResponseHead(exchange.status, returned_headers(exchange.headers))
+        usage = response_usage(body, call, backend) if exchange.status == OK else None
         yield ResponseChunk(body, usage.completion_tokens if usage else 0)
         yield ResponseEnd(usage, backend.name, backend.region)
     finally:
-        if not ended and run.stream_id:
-            cancel(backend, run.stream_id)
-        await run.close()
+        if not response_complete and engine_call.stream_id:
+            cancel(backend, engine_call.stream_id)
+        await engine_call.close()
 
 
-async def drain_end(run: EngineCall) -> None:
+async def drain_body(engine_call: EngineCall) -> None:
     """Read the end of the body after the last event, so that the connection can be reused."""
-    if run.exchange is None:
+    if engine_call.exchange is None:
         return
-    run.exchange.expect()
+    engine_call.exchange.start_read_timeout()
     try:
-        await run.exchange.next_chunk()
+        await engine_call.exchange.next_chunk()
     except ExchangeError:
         # The answer is whole by its own end mark; only the connection is lost.
         return
 
 
-async def whole_body(
-    run: EngineCall, exchange: Exchange, call: Call, backend: BackendServer
+async def read_body(
+    engine_call: EngineCall, exchange: Exchange, call: Call, backend: BackendServer
 ) -> bytes:
     """Read an answer that is not streamed."""
-    exchange.expect()
+    exchange.start_read_timeout()
     try:
-        return await exchange.read(MAX_WHOLE_BYTES)
+        return await exchange.read(MAX_BODY_BYTES)
     except ExchangeError as exc:
-        raise lost(call, backend, exc, begun=True) from exc
+        raise lost_response_error(call, backend, exc, response_started=True) from exc
 
 
 def check_status(exchange: Exchange, call: Call, backend: BackendServer) -> None:
@@ -217,18 +226,22 @@
     if exchange.status == NOT_FOUND:
         raise GatewayError(ErrorKind.BACKEND_REFUSED, f"{backend.name} lacks {call.served}")
     if exchange.status >= FIRST_SERVER_ERROR:
-        raise fault(call, backend, ErrorKind.BACKEND_FAILED, f"status {exchange.status}")
+        raise possibly_run_error(
+            call, backend, ErrorKind.BACKEND_FAILED, f"status {exchange.status}"
+        )
 
 
-def whole_usage(body: bytes, call: Call, backend: BackendServer) -> Any:
+def response_usage(body: bytes, call: Call, backend: BackendServer) -> Any:
     """Return the usage of a whole answer, or raise when the answer is malformed."""
     try:
         return usage_of(body)
     except ValueError as exc:
-        raise fault(call, backend, ErrorKind.BACKEND_FAILED, "malformed answer") from exc
+        raise possibly_run_error(
+            call, backend, ErrorKind.BACKEND_FAILED, "malformed answer"
+        ) from exc
 
 
-def with_usage(call: Call) -> tuple[bytes, bool]:
+def body_requesting_usage(call: Call) -> tuple[bytes, bool]:
     """Return the body that asks for usage, and whether the caller did not ask.
 
     Without usage the account would be charged by estimate.
@@ -243,6 +256,6 @@
     return msgspec.json.encode(body), True
 
 
-def broken() -> ExchangeError:
+def broken_stream_error() -> ExchangeError:
     """Return the error of a stream that ended without its end mark."""
-    return ExchangeError(silent=False)
+    return ExchangeError(timed_out=False)
--- a/src/hickorybeam/backends/exchange.py
+++ b/src/hickorybeam/backends/exchange.py
@@ -20,7 +20,7 @@
 
 __all__ = ("Exchange", "ExchangeError")
 
-LOST = (httpcore.NetworkError, anyio.ClosedResourceError, BrokenResponseError)
+CONNECTION_ERRORS = (httpcore.NetworkError, anyio.ClosedResourceError, BrokenResponseError)
 
 
 class ExchangeError(Exception):
@@ -29,9 +29,9 @@
     :param silent: the connection fell silent; otherwise it broke.
     """
 
-    def __init__(self, *, silent: bool) -> None:
-        super().__init__("fell silent" if silent else "broke off")
-        self.silent = silent
+    def __init__(self, *, timed_out: bool) -> None:
+        super().__init__("fell silent" if timed_out else "broke off")
+        self.timed_out = timed_out
 
 
 class Exchange:
@@ -48,7 +48,7 @@
         conn: Connection,
         backend: BackendServer,
         *,
-        between_ms: int,
+        read_timeout_ms: int,
     ) -> None:
         self.status = 0
         self.headers: list[tuple[bytes, bytes]] = []
@@ -56,11 +56,17 @@
         self._watchdog = watchdog
         self._conn = conn
         self._backend = backend
-        self._between_ms = between_ms
-        self._watch = watchdog.add(between_ms, self._on_silence)
+        self._read_timeout_ms = read_timeout_ms
+        self._deadline = watchdog.add(read_timeout_ms, self._shut_down_socket)
 
     async def send(
-        self, method: str, target: bytes, headers: RawHeaders, body: bytes, *, first_byte_ms: int
+        self,
+        method: str,
+        target: bytes,
+        headers: RawHeaders,
+        body: bytes,
+        *,
+        first_byte_timeout_ms: int,
     ) -> None:
         """Send the request and read status and headers.
 
@@ -69,11 +75,11 @@
         """
         if body or method in ("POST", "PUT", "PATCH"):
             headers = [*headers, (b"content-length", b"%d" % len(body))]
-        self._watchdog.extend(self._watch, first_byte_ms)
+        self._watchdog.extend(self._deadline, first_byte_timeout_ms)
         try:
             await self._conn.http.send(method, target, headers, body)
-        except LOST as exc:
-            raise ExchangeError(silent=self._watch.expired) from exc
+        except CONNECTION_ERRORS as exc:
+            raise ExchangeError(timed_out=self._deadline.expired) from exc
         except InvalidRequestError as exc:
             raise GatewayError(ErrorKind.BAD_REQUEST, "not valid as HTTP") from exc
         self.status = self._conn.http.status
@@ -95,39 +101,39 @@
         """
         try:
             return await self._conn.http.next_chunk()
-        except LOST as exc:
-            raise ExchangeError(silent=self._watch.expired) from exc
+        except CONNECTION_ERRORS as exc:
+            raise ExchangeError(timed_out=self._deadline.expired) from exc
         finally:
-            self._watchdog.pause(self._watch)
+            self._watchdog.pause(self._deadline)
 
-    def expect(self) -> None:
+    def start_read_timeout(self) -> None:
         """Start the limit for the next bytes of the body."""
-        self._watchdog.extend(self._watch, self._between_ms)
+        self._watchdog.extend(self._deadline, self._read_timeout_ms)
 
-    async def read(self, limit: int) -> bytes:
+    async def read(self, max_bytes: int) -> bytes:
         """Read the whole body, up to a limit in bytes."""
         parts = []
         size = 0
         while chunk := await self.next_chunk():
             size += len(chunk)
-            if size > limit:
-                raise ExchangeError(silent=False)
+            if size > max_bytes:
+                raise ExchangeError(timed_out=False)
             parts.append(chunk)
-            self.expect()
+            self.start_read_timeout()
         return b"".join(parts)
 
     async def close(self) -> None:
         """End the exchange; the connection is reused only after a whole answer."""
-        self._watchdog.remove(self._watch)
+        self._watchdog.remove(self._deadline)
         if self._conn.http.reusable:
             self._pool.release(self._conn)
             return
         with anyio.CancelScope(shield=True):
             await self._conn.http.aclose()
-            if self._watch.expired:
+            if self._deadline.expired:
                 await self._pool.close_idle(self._backend)
 
-    def _on_silence(self) -> None:
+    def _shut_down_socket(self) -> None:
         # The read that waits returns at once, as if the other end had closed.
         with contextlib.suppress(OSError):
             self._conn.socket.shutdown(socket.SHUT_RDWR)
--- a/src/hickorybeam/backends/headers.py
+++ b/src/hickorybeam/backends/headers.py
@@ -9,7 +9,7 @@
 
     from hickorybeam.model import Call, Header
 
-__all__ = ("engine_headers", "forwarded", "plain_headers", "returned")
+__all__ = ("engine_headers", "forwarded_headers", "plain_headers", "returned_headers")
 
 RawHeaders = list[tuple[bytes, bytes]]
 
@@ -33,44 +33,46 @@
     ("authorization", "x-api-key", "api-key", "cookie", "idempotency-key", "x-auth-token")
 )
 # Headers by which the gateway itself speaks to backend servers; a caller must not set them.
-OURS = frozenset(
+GATEWAY_HEADERS = frozenset(
     ("x-request-id", "x-account", "x-priority", "x-deadline-ms", "x-prefix", "x-ran", "x-stream-id")
 )
-OUR_PREFIX = "x-hickorybeam-"
+GATEWAY_HEADER_PREFIX = "x-hickorybeam-"
 # Set anew for each connection, since the body is sent whole and to another host.
 PER_CONNECTION = frozenset(("host", "content-length", "expect", "via", "max-forwards"))
 
-NOT_FORWARDED = HOP_BY_HOP | CREDENTIALS | OURS | PER_CONNECTION
-NOT_RETURNED = HOP_BY_HOP | OURS | frozenset(("via",))
-ENGINE_TAKES = frozenset(("content-type", "accept", "user-agent"))
+NOT_FORWARDED = HOP_BY_HOP | CREDENTIALS | GATEWAY_HEADERS | PER_CONNECTION
+NOT_RETURNED = HOP_BY_HOP | GATEWAY_HEADERS | frozenset(("via",))
+SENT_TO_ENGINES = frozenset(("content-type", "accept", "user-agent"))
 VIA = (b"via", b"1.1 hickorybeam")
 
 
-def forwarded(headers: Iterable[Header]) -> tuple[Header, ...]:
+def forwarded_headers(headers: Iterable[Header]) -> tuple[Header, ...]:
     """Return the caller's headers that a backend server may see."""
     headers = tuple(headers)
-    named = named_in_connection(headers)
+    connection_scoped = connection_options(headers)
     return tuple(
         (name, value)
         for name, value in headers
-        if (low := name.lower()) not in NOT_FORWARDED
-        and low not in named
-        and not low.startswith(OUR_PREFIX)
+        if (lower_name := name.lower()) not in NOT_FORWARDED
+        and lower_name not in connection_scoped
+        and not lower_name.startswith(GATEWAY_HEADER_PREFIX)
     )
 
 
-def returned(raw: Iterable[tuple[bytes, bytes]]) -> tuple[Header, ...]:
+def returned_headers(raw: Iterable[tuple[bytes, bytes]]) -> tuple[Header, ...]:
     """Return a backend server's headers that the caller may see."""
     headers = [(name.decode("latin-1").lower(), value.decode("latin-1")) for name, value in raw]
-    named = named_in_connection(headers)
+    connection_scoped = connection_options(headers)
     return tuple(
         (name, value)
         for name, value in headers
-        if name not in NOT_RETURNED and name not in named and not name.startswith(OUR_PREFIX)
+        if name not in NOT_RETURNED
+        and name not in connection_scoped
+        and not name.startswith(GATEWAY_HEADER_PREFIX)
     )
 
 
-def named_in_connection(headers: Iterable[Header]) -> frozenset[str]:
+def connection_options(headers: Iterable[Header]) -> frozenset[str]:
     """Return the names that a ``Connection`` header declares to be for this hop only."""
     return frozenset(
         option.strip().lower()
@@ -82,8 +84,10 @@
 
 def engine_headers(call: Call, host: bytes) -> RawHeaders:
     """Return the headers of a call to an engine."""
-    taken = [header for header in forwarded(call.headers) if header[0].lower() in ENGINE_TAKES]
-    raw = common_headers(call, host, tuple(taken))
+    allowed = [
+        header for header in forwarded_headers(call.headers) if header[0].lower() in SENT_TO_ENGINES
+    ]
+    raw = common_headers(call, host, tuple(allowed))
     raw.append((b"x-priority", b"%d" % call.priority))
     if call.prefix:
         raw.append((b"x-prefix", call.prefix.encode()))
@@ -92,13 +96,13 @@
 
 def plain_headers(call: Call, host: bytes) -> RawHeaders:
     """Return the headers of a call to a plain service."""
-    return [*common_headers(call, host, forwarded(call.headers)), VIA]
+    return [*common_headers(call, host, forwarded_headers(call.headers)), VIA]
 
 
-def common_headers(call: Call, host: bytes, kept: tuple[Header, ...]) -> RawHeaders:
+def common_headers(call: Call, host: bytes, caller_headers: tuple[Header, ...]) -> RawHeaders:
     """Return what every backend server is told."""
     raw = [(b"host", host)]
-    raw.extend((name.encode("latin-1"), value.encode("latin-1")) for name, value in kept)
+    raw.extend((name.encode("latin-1"), value.encode("latin-1")) for name, value in caller_headers)
     raw.append((b"x-request-id", call.request_id.encode()))
     raw.append((b"x-account", call.account.encode()))
     raw.append((b"x-deadline-ms", b"%d" % call.deadline_ms))
--- a/src/hickorybeam/backends/http1.py
+++ b/src/hickorybeam/backends/http1.py
@@ -23,10 +23,10 @@
 MAX_HEAD_BYTES = 100_000
 SWITCHING_PROTOCOLS = 101
 FIRST_FINAL_STATUS = 200
-BODILESS = (204, 304)
-TOKEN = re.compile(rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]+")
-VALUE = re.compile(rb"[^\x00-\x08\x0a-\x1f\x7f]*")
-TARGET = re.compile(rb"/[\x21-\x7e]*")
+BODILESS_STATUSES = (204, 304)
+HEADER_NAME = re.compile(rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]+")
+HEADER_VALUE = re.compile(rb"[^\x00-\x08\x0a-\x1f\x7f]*")
+REQUEST_TARGET = re.compile(rb"/[\x21-\x7e]*")
 
 
 class InvalidRequestError(Exception):
@@ -50,14 +50,14 @@
         self.reusable = False
         self._stream = stream
         self._parser = httptools.HttpResponseParser(self)
-        self._is_head = False
-        self._head = False
-        self._parts: list[bytes] = []
-        self._whole = False
-        self._ended = False
+        self._is_head_request = False
+        self._head_received = False
+        self._chunks: list[bytes] = []
+        self._complete = False
+        self._message_ended = False
         self._keep_alive = False
-        self._until_close = False
-        self._surplus = False
+        self._ends_at_close = False
+        self._excess_bytes = False
         self._head_bytes = 0
 
     async def send(self, method: str, target: bytes, headers: RawHeaders, body: bytes) -> None:
@@ -66,27 +66,27 @@
         :raises InvalidRequestError: nothing was sent.
         :raises BrokenResponseError: the answer's head did not come.
         """
-        data = request_bytes(method, target, headers, body)
-        self._start(method)
+        data = encode_request(method, target, headers, body)
+        self._reset(method)
         # A server may answer and close before it has read the whole request; then the answer
         # counts and not the failed write.
         with contextlib.suppress(httpcore.WriteError):
             await self._stream.write(data)
-        while not self._head:
+        while not self._head_received:
             await self._read()
 
     async def next_chunk(self) -> bytes:
         """Return all body bytes that have arrived, empty at the proper end."""
-        while not self._parts and not self._whole:
+        while not self._chunks and not self._complete:
             await self._read()
-        if not self._parts:
-            self.reusable = self._keep_alive and not self._until_close and not self._surplus
+        if not self._chunks:
+            self.reusable = self._keep_alive and not self._ends_at_close and not self._excess_bytes
             return b""
-        data = self._parts[0] if len(self._parts) == 1 else b"".join(self._parts)
-        self._parts.clear()
+        data = self._chunks[0] if len(self._chunks) == 1 else b"".join(self._chunks)
+        self._chunks.clear()
         return data
 
-    def has_expired(self) -> bool:
+    def is_stale(self) -> bool:
         """Whether the other end has closed, or sent bytes that nobody asked for."""
         return bool(self._stream.get_extra_info("is_readable"))
 
@@ -95,23 +95,23 @@
         self.reusable = False
         await self._stream.aclose()
 
-    def _start(self, method: str) -> None:
+    def _reset(self, method: str) -> None:
         self.reusable = False
         self._parser = httptools.HttpResponseParser(self)
-        self._is_head = method == "HEAD"
-        self._head = self._whole = self._ended = False
-        self._until_close = self._surplus = False
-        self._parts.clear()
+        self._is_head_request = method == "HEAD"
+        self._head_received = self._complete = self._message_ended = False
+        self._ends_at_close = self._excess_bytes = False
+        self._chunks.clear()
 
     async def _read(self) -> None:
         data = await self._stream.read(READ_BYTES)
         if not data:
-            if self._head and self._until_close:
-                self._whole = True
+            if self._head_received and self._ends_at_close:
+                self._complete = True
                 return
             raise BrokenResponseError
-        if self._ended:
-            self._surplus = True
+        if self._message_ended:
+            self._excess_bytes = True
             return
         try:
             self._parser.feed_data(data)
@@ -120,8 +120,8 @@
 
     def on_message_begin(self) -> None:
         """Start the head of an answer."""
-        if self._ended:
-            self._surplus = True
+        if self._message_ended:
+            self._excess_bytes = True
         self.headers = []
         self._head_bytes = 0
 
@@ -134,32 +134,32 @@
 
     def on_headers_complete(self) -> None:
         """Take the head, unless it is an interim one (1xx), which is not passed on."""
-        if self._ended:
+        if self._message_ended:
             return
         self.status = self._parser.get_status_code()
         if self.status < FIRST_FINAL_STATUS:
             if self.status == SWITCHING_PROTOCOLS:
                 raise BrokenResponseError
             return
-        self._head = True
+        self._head_received = True
         self._keep_alive = self._parser.should_keep_alive()
-        if self._is_head or self.status in BODILESS:
-            self._ended = self._whole = True
+        if self._is_head_request or self.status in BODILESS_STATUSES:
+            self._message_ended = self._complete = True
             return
-        self._until_close = not framed(self.headers)
+        self._ends_at_close = not is_framed(self.headers)
 
     def on_body(self, data: bytes) -> None:
         """Take body bytes."""
-        if not self._ended:
-            self._parts.append(data)
+        if not self._message_ended:
+            self._chunks.append(data)
 
     def on_message_complete(self) -> None:
         """Take the proper end."""
-        if self._head and not self._until_close:
-            self._ended = self._whole = True
+        if self._head_received and not self._ends_at_close:
+            self._message_ended = self._complete = True
 
 
-def framed(headers: RawHeaders) -> bool:
+def is_framed(headers: RawHeaders) -> bool:
     """Whether an answer marks its own end; otherwise it ends with its connection."""
     names = {name.lower(): value.lower() for name, value in headers}
     if b"transfer-encoding" in names:
@@ -167,16 +167,16 @@
     return b"content-length" in names
 
 
-def request_bytes(method: str, target: bytes, headers: RawHeaders, body: bytes) -> bytes:
+def encode_request(method: str, target: bytes, headers: RawHeaders, body: bytes) -> bytes:
     """Return a request as it goes over the wire.
 
     :raises InvalidRequestError: a name, value or the target could be read as something else.
     """
-    if not TARGET.fullmatch(target):
+    if not REQUEST_TARGET.fullmatch(target):
         raise InvalidRequestError
     lines = [b"%s %s HTTP/1.1" % (method.encode("ascii"), target)]
     for name, value in headers:
-        if not TOKEN.fullmatch(name) or not VALUE.fullmatch(value):
+        if not HEADER_NAME.fullmatch(name) or not HEADER_VALUE.fullmatch(value):
             raise InvalidRequestError
         lines.append(b"%s: %s" % (name, value))
     return b"\r\n".join(lines) + b"\r\n\r\n" + body
--- a/src/hickorybeam/backends/caller.py
+++ b/src/hickorybeam/backends/http_client.py
@@ -15,15 +15,15 @@
     from hickorybeam.settings import BackendSettings
     from hickorybeam.watchdog import Watchdog
 
-__all__ = ("Caller", "Outgoing", "fault", "lost")
+__all__ = ("HttpClient", "HttpRequest", "lost_response_error", "possibly_run_error")
 
-UNAVAILABLE = 503
-TOO_MANY = 429
-NOT_RUN = "no"
+SERVICE_UNAVAILABLE = 503
+TOO_MANY_REQUESTS = 429
+RAN_NO = "no"
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Outgoing:
+class HttpRequest:
     """One HTTP request as it goes to a backend server."""
 
     method: str
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Caller:
+class HttpClient:
     """Opens exchanges with backend servers."""
 
     cfg: BackendSettings
@@ -44,9 +44,9 @@
         self,
         call: Call,
         backend: BackendServer,
-        request: Outgoing,
+        request: HttpRequest,
         *,
-        first_byte_ms: int,
+        first_byte_timeout_ms: int,
         fresh: bool = False,
     ) -> Exchange:
         """Send a request and read the head of its answer.
@@ -56,16 +56,18 @@
         :raises ExchangeError: any other fault; the request may have run.
         """
         conn = await self.pool.acquire(backend, fresh=fresh or not call.idempotent)
-        exchange = Exchange(self.pool, self.watchdog, conn, backend, between_ms=self.cfg.between_ms)
+        exchange = Exchange(
+            self.pool, self.watchdog, conn, backend, read_timeout_ms=self.cfg.between_ms
+        )
         try:
             await exchange.send(
                 request.method,
                 request.target,
                 request.headers,
                 request.body,
-                first_byte_ms=first_byte_ms,
+                first_byte_timeout_ms=first_byte_timeout_ms,
             )
-            check_echo(exchange, call, backend)
+            check_request_id(exchange, call, backend)
             check_refusal(exchange, backend)
         except BaseException:
             await exchange.close()
@@ -73,36 +75,45 @@
         return exchange
 
 
-def check_echo(exchange: Exchange, call: Call, backend: BackendServer) -> None:
+def check_request_id(exchange: Exchange, call: Call, backend: BackendServer) -> None:
     """Refuse an answer that names another request.
 
     A backend server whose answers are crossed would show one caller another's content; the
     echoed request id is the only sign of it.
     """
-    echoed = exchange.header(b"x-request-id")
-    if echoed and echoed != call.request_id:
-        raise fault(call, backend, ErrorKind.BACKEND_FAILED, "answered another request")
+    echoed_id = exchange.header(b"x-request-id")
+    if echoed_id and echoed_id != call.request_id:
+        raise possibly_run_error(
+            call, backend, ErrorKind.BACKEND_FAILED, "answered another request"
+        )
 
 
 def check_refusal(exchange: Exchange, backend: BackendServer) -> None:
     """Raise ``BACKEND_REFUSED`` when the backend server says that it ran nothing."""
-    if exchange.status in (UNAVAILABLE, TOO_MANY) and exchange.header(b"x-ran") == NOT_RUN:
+    if (
+        exchange.status in (SERVICE_UNAVAILABLE, TOO_MANY_REQUESTS)
+        and exchange.header(b"x-ran") == RAN_NO
+    ):
         raise GatewayError(ErrorKind.BACKEND_REFUSED, f"{backend.name} takes no work")
 
 
-def lost(call: Call, backend: BackendServer, exc: ExchangeError, *, begun: bool) -> GatewayError:
+def lost_response_error(
+    call: Call, backend: BackendServer, exc: ExchangeError, *, response_started: bool
+) -> GatewayError:
     """Return the error for an answer that did not come whole.
 
     :param begun: whether the caller already has a part of the answer.
     """
-    if exc.silent:
+    if exc.timed_out:
         kind = ErrorKind.BACKEND_SILENT
     else:
-        kind = ErrorKind.STREAM_BROKEN if begun else ErrorKind.BACKEND_FAILED
-    return fault(call, backend, kind, str(exc))
+        kind = ErrorKind.STREAM_BROKEN if response_started else ErrorKind.BACKEND_FAILED
+    return possibly_run_error(call, backend, kind, str(exc))
 
 
-def fault(call: Call, backend: BackendServer, kind: ErrorKind, detail: str) -> GatewayError:
+def possibly_run_error(
+    call: Call, backend: BackendServer, kind: ErrorKind, detail: str
+) -> GatewayError:
     """Return an error of a call that may have run.
 
     A call that may not be repeated becomes ``BACKEND_UNKNOWN``, whose answer tells the caller
--- a/src/hickorybeam/backends/network.py
+++ b/src/hickorybeam/backends/network.py
@@ -15,12 +15,12 @@
 
     from anyio.abc import SocketStream
 
-__all__ = ("QuietStream", "connect")
+__all__ = ("UntimedStream", "connect")
 
 MS_PER_SECOND = 1000
 
 
-class QuietStream(httpcore.AsyncNetworkStream):
+class UntimedStream(httpcore.AsyncNetworkStream):
     """A TCP connection whose reads and writes have no time limit of their own.
 
     httpcore's stream sets up a cancel scope and an exception table for each read, also when
@@ -70,7 +70,7 @@
         return None
 
 
-async def connect(host: str, port: int, *, timeout_ms: int) -> QuietStream:
+async def connect(host: str, port: int, *, timeout_ms: int) -> UntimedStream:
     """Open a connection.
 
     :raises httpcore.ConnectError: it cannot be opened.
@@ -78,7 +78,7 @@
     """
     try:
         with anyio.fail_after(timeout_ms / MS_PER_SECOND):
-            return QuietStream(await anyio.connect_tcp(host, port))
+            return UntimedStream(await anyio.connect_tcp(host, port))
     except TimeoutError as exc:
         raise httpcore.ConnectTimeout from exc
     except (OSError, anyio.BrokenResourceError) as exc:
--- a/src/hickorybeam/backends/pool.py
+++ b/src/hickorybeam/backends/pool.py
@@ -21,8 +21,8 @@
 
 __all__ = ("Connection", "ConnectionPool")
 
-REAP_EVERY_MS = 1_000
-IDLE_PER_SERVER = 64
+REAP_INTERVAL_MS = 1_000
+MAX_IDLE_PER_SERVER = 64
 
 Address = tuple[str, int]
 
@@ -51,14 +51,14 @@
     whole limit. Younger ones are checked for a close from the other end.
     """
 
-    def __init__(self, clock: Clock, *, connect_timeout_ms: int, idle_ms: int) -> None:
+    def __init__(self, clock: Clock, *, connect_timeout_ms: int, max_idle_ms: int) -> None:
         self._clock = clock
         self._connect_timeout_ms = connect_timeout_ms
-        self._idle_ms = idle_ms
+        self._max_idle_ms = max_idle_ms
         self._idle: dict[Address, deque[Connection]] = {}
         self.opened = 0
 
-    def idle(self, backend: BackendServer) -> int:
+    def idle_count(self, backend: BackendServer) -> int:
         """Return how many connections to a backend server are idle."""
         return len(self._idle.get((backend.host, backend.port), ()))
 
@@ -72,14 +72,14 @@
         """
         address = (backend.host, backend.port)
         if not fresh:
-            conn = await self._take_idle(address)
+            conn = await self._acquire_idle(address)
             if conn is not None:
                 return conn
         return await self._open(address, backend.name)
 
     def release(self, conn: Connection) -> None:
         """Keep a connection whose answer was read to its end."""
-        idle = self._idle.setdefault(conn.address, deque(maxlen=IDLE_PER_SERVER))
+        idle = self._idle.setdefault(conn.address, deque(maxlen=MAX_IDLE_PER_SERVER))
         conn.idle_since_ms = self._clock.now()
         conn.reused = True
         idle.append(conn)
@@ -93,19 +93,19 @@
         """Close connections that idled for too long, until cancelled; then close all."""
         try:
             while True:
-                await self._clock.sleep(REAP_EVERY_MS)
+                await self._clock.sleep(REAP_INTERVAL_MS)
                 await self._reap()
         finally:
             for idle in self._idle.values():
                 for conn in idle:
                     await conn.close()
 
-    async def _take_idle(self, address: Address) -> Connection | None:
+    async def _acquire_idle(self, address: Address) -> Connection | None:
         idle = self._idle.get(address)
-        oldest = self._clock.now() - self._idle_ms
+        min_idle_since_ms = self._clock.now() - self._max_idle_ms
         while idle:
             conn = idle.pop()
-            if conn.idle_since_ms >= oldest and not conn.http.has_expired():
+            if conn.idle_since_ms >= min_idle_since_ms and not conn.http.is_stale():
                 return conn
             await conn.close()
         return None
@@ -120,7 +120,7 @@
         return Connection(address, HttpConnection(stream), stream.socket)
 
     async def _reap(self) -> None:
-        oldest = self._clock.now() - self._idle_ms
+        min_idle_since_ms = self._clock.now() - self._max_idle_ms
         for idle in tuple(self._idle.values()):
-            while idle and idle[0].idle_since_ms < oldest:
+            while idle and idle[0].idle_since_ms < min_idle_since_ms:
                 await idle.popleft().close()
--- a/src/hickorybeam/backends/reports.py
+++ b/src/hickorybeam/backends/reports.py
@@ -8,8 +8,8 @@
 import anyio
 import msgspec
 
-from hickorybeam.backends.caller import Caller, Outgoing
 from hickorybeam.backends.exchange import ExchangeError
+from hickorybeam.backends.http_client import HttpClient, HttpRequest
 from hickorybeam.errors import GatewayError
 from hickorybeam.model import BackendKind, Call, CallKind, LoadReport
 
@@ -28,7 +28,7 @@
 POLL_TIMEOUT_MS = 1_000
 MS_PER_SECOND = 1000
 # A report older than this many pauses says nothing of the load now.
-STALE_PAUSES = 6
+MAX_REPORT_AGE_INTERVALS = 6
 MAX_REPORT_BYTES = 100_000
 OK = 200
 
@@ -46,66 +46,75 @@
     """Holds the last report of each engine and a task that polls it."""
 
     def __init__(
-        self, caller: Caller, clock: Clock, *, region: str, every_ms: int, failures: Counter
+        self,
+        client: HttpClient,
+        clock: Clock,
+        *,
+        region: str,
+        min_interval_ms: int,
+        failures: Counter,
     ) -> None:
-        self._caller = caller
+        self._client = client
         self._clock = clock
         self._region = region
-        self._every_ms = every_ms
+        self._min_interval_ms = min_interval_ms
         self._failures = failures
         self._reports: dict[str, LoadReport] = {}
-        self._polled: dict[BackendServer, anyio.CancelScope] = {}
+        self._poll_scopes: dict[BackendServer, anyio.CancelScope] = {}
 
     def report(self, backend: str) -> LoadReport | None:
         """Return the last report, ``None`` when there is none or it is stale."""
         found = self._reports.get(backend)
-        if found is None or self._clock.now() - found.at_ms > STALE_PAUSES * self._pause_ms():
+        if (
+            found is None
+            or self._clock.now() - found.at_ms > MAX_REPORT_AGE_INTERVALS * self._poll_interval_ms()
+        ):
             return None
         return found
 
-    def follow(self, backends: Iterable[BackendServer], tg: anyio.abc.TaskGroup) -> None:
+    def set_backends(self, backends: Iterable[BackendServer], tg: anyio.abc.TaskGroup) -> None:
         """Poll exactly the engines of this region among these backend servers."""
-        wanted = {
+        engines = {
             backend
             for backend in backends
             if backend.kind is BackendKind.ENGINE and backend.region == self._region
         }
-        for backend in tuple(self._polled):
-            if backend not in wanted:
-                self._polled.pop(backend).cancel()
+        for backend in tuple(self._poll_scopes):
+            if backend not in engines:
+                self._poll_scopes.pop(backend).cancel()
                 self._reports.pop(backend.name, None)
-        for backend in wanted - self._polled.keys():
+        for backend in engines - self._poll_scopes.keys():
             scope = anyio.CancelScope()
-            self._polled[backend] = scope
-            tg.start_soon(self._poll_for_ever, backend, scope)
+            self._poll_scopes[backend] = scope
+            tg.start_soon(self._poll_until_cancelled, backend, scope)
 
-    def forget(self) -> None:
+    def reset(self) -> None:
         """Start anew; the tasks that polled have ended."""
-        self._polled.clear()
+        self._poll_scopes.clear()
 
-    def _pause_ms(self) -> int:
-        return max(self._every_ms, len(self._polled) * MS_PER_SECOND // MAX_POLLS_PER_S)
+    def _poll_interval_ms(self) -> int:
+        return max(self._min_interval_ms, len(self._poll_scopes) * MS_PER_SECOND // MAX_POLLS_PER_S)
 
-    async def _poll_for_ever(self, backend: BackendServer, scope: anyio.CancelScope) -> None:
+    async def _poll_until_cancelled(self, backend: BackendServer, scope: anyio.CancelScope) -> None:
         with scope:
             # Spread by name, so that many engines are not asked in one burst.
-            offset = zlib.crc32(backend.name.encode()) % self._every_ms
+            offset = zlib.crc32(backend.name.encode()) % self._min_interval_ms
             await self._poll(backend)
             await self._clock.sleep(offset)
             while True:
                 await self._poll(backend)
-                await self._clock.sleep(self._pause_ms())
+                await self._clock.sleep(self._poll_interval_ms())
 
     async def _poll(self, backend: BackendServer) -> None:
         call = Call(request_id="load", account="", key_digest="", kind=CallKind.PLAIN, served="")
         host = f"{backend.host}:{backend.port}".encode()
-        request = Outgoing(method="GET", target=b"/load", headers=[(b"host", host)])
+        request = HttpRequest(method="GET", target=b"/load", headers=[(b"host", host)])
         try:
-            exchange = await self._caller.open(
-                call, backend, request, first_byte_ms=POLL_TIMEOUT_MS
+            exchange = await self._client.open(
+                call, backend, request, first_byte_timeout_ms=POLL_TIMEOUT_MS
             )
             try:
-                exchange.expect()
+                exchange.start_read_timeout()
                 raw = await exchange.read(MAX_REPORT_BYTES)
             finally:
                 await exchange.close()
--- a/src/hickorybeam/backends/service.py
+++ b/src/hickorybeam/backends/service.py
@@ -6,9 +6,9 @@
 
 import anyio
 
-from hickorybeam.backends.caller import Caller
-from hickorybeam.backends.cancels import Canceller
+from hickorybeam.backends.cancels import StreamCanceller
 from hickorybeam.backends.engine import run_engine
+from hickorybeam.backends.http_client import HttpClient
 from hickorybeam.backends.plain import run_plain
 from hickorybeam.backends.pool import ConnectionPool
 from hickorybeam.backends.reports import ReportPoller
@@ -30,7 +30,7 @@
 
 CANCEL_TASKS = 8
 # Silence is noticed up to one tick late; a tenth of the shortest usual limit.
-TICK_MS = 50
+WATCHDOG_TICK_MS = 50
 
 
 class BackendsService(Service):
@@ -43,25 +43,25 @@
         limits = cfg.backends
         self._cfg = limits
         self._retries = counters.retries
-        self._watchdog = Watchdog(clock, tick_ms=TICK_MS)
+        self._watchdog = Watchdog(clock, tick_ms=WATCHDOG_TICK_MS)
         self.pool = ConnectionPool(
-            clock, connect_timeout_ms=limits.connect_timeout_ms, idle_ms=limits.idle_ms
+            clock, connect_timeout_ms=limits.connect_timeout_ms, max_idle_ms=limits.idle_ms
         )
         # Reports and cancels have connections of their own: sharing them would leave it to
         # chance which calls find a warm one.
         self._control_pool = ConnectionPool(
-            clock, connect_timeout_ms=limits.connect_timeout_ms, idle_ms=limits.idle_ms
+            clock, connect_timeout_ms=limits.connect_timeout_ms, max_idle_ms=limits.idle_ms
         )
-        self._caller = Caller(limits, self.pool, self._watchdog)
-        caller = Caller(limits, self._control_pool, self._watchdog)
-        self._canceller = Canceller(
-            caller, sent=counters.counter("cancels", "Streams stopped at engines", ("outcome",))
+        self._client = HttpClient(limits, self.pool, self._watchdog)
+        client = HttpClient(limits, self._control_pool, self._watchdog)
+        self._canceller = StreamCanceller(
+            client, sent=counters.counter("cancels", "Streams stopped at engines", ("outcome",))
         )
         self._poller = ReportPoller(
-            caller,
+            client,
             clock,
             region=cfg.vm.region,
-            every_ms=limits.report_every_ms,
+            min_interval_ms=limits.report_every_ms,
             failures=counters.counter("load_report_failures", "Load reports that did not come"),
         )
 
@@ -78,18 +78,18 @@
             for _ in range(CANCEL_TASKS):
                 tg.start_soon(self._canceller.run)
             # After a crash the old tasks are gone with their group; polls would never resume.
-            self._poller.forget()
+            self._poller.reset()
             started()
             while True:
                 state = self._config.current()
-                self._poller.follow(state.backends.values(), tg)
+                self._poller.set_backends(state.backends.values(), tg)
                 await self._config.wait_past(state.position)
 
     def run(self, call: Call, backend: BackendServer) -> AsyncIterator[ResponsePart]:
         """Run a call on one backend server; see :class:`hickorybeam.ports.BackendClient`."""
         if backend.kind is BackendKind.ENGINE:
             return run_engine(
-                self._caller,
+                self._client,
                 call,
                 backend,
                 retries=self._retries,
@@ -99,7 +99,7 @@
         timeout_ms = min(call.deadline_ms, self._cfg.first_byte_ms)
         if service is not None:
             timeout_ms = min(timeout_ms, service.timeout_ms)
-        return run_plain(self._caller, call, backend, timeout_ms=timeout_ms)
+        return run_plain(self._client, call, backend, timeout_ms=timeout_ms)
 
     def report(self, backend: str) -> LoadReport | None:
         """Return the latest load report of a backend server, ``None`` if stale."""
--- a/src/hickorybeam/backends/sse.py
+++ b/src/hickorybeam/backends/sse.py
@@ -9,11 +9,11 @@
 
 from hickorybeam.model import Usage
 
-__all__ = ("Pieces", "SseReader", "usage_of")
+__all__ = ("EventBatch", "SseReader", "usage_of")
 
 EVENT_END = b"\n\n"
-DONE = (b"data: [DONE]\n\n", b"data:[DONE]\n\n")
-NO_CHOICES = re.compile(rb'"choices":\s*\[\]')
+DONE_EVENTS = (b"data: [DONE]\n\n", b"data:[DONE]\n\n")
+EMPTY_CHOICES = re.compile(rb'"choices":\s*\[\]')
 EVENT_ID = re.compile(rb"^id:\s*(\d+)", re.M)
 # An engine that never ends an event would otherwise fill the VM's memory.
 MAX_EVENT_BYTES = 1_000_000
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Pieces:
+class EventBatch:
     """What one read brought: bytes to relay and how many events they hold."""
 
     data: bytes
@@ -51,15 +51,15 @@
         self.done = False
         self.usage: Usage | None = None
         self._strip_usage = strip_usage
-        self._rest = b""
+        self._buffer = b""
         self._resuming = False
 
     def resume(self) -> None:
         """Forget a half-read event; the next events come from a new connection."""
-        self._rest = b""
+        self._buffer = b""
         self._resuming = True
 
-    def feed(self, data: bytes) -> Pieces | None:
+    def feed(self, data: bytes) -> EventBatch | None:
         """Take bytes and return the whole events within.
 
         :return: ``None`` while no event is complete.
@@ -67,52 +67,52 @@
         """
         if b"\r" in data:
             data = data.replace(b"\r", b"")
-        if self._rest:
-            data = self._rest + data
+        if self._buffer:
+            data = self._buffer + data
         end = data.rfind(EVENT_END)
         if end < 0:
             if len(data) > MAX_EVENT_BYTES:
                 raise ValueError("event too long")
-            self._rest = data
+            self._buffer = data
             return None
         end += len(EVENT_END)
-        self._rest = data[end:]
-        return self._count(data[:end])
+        self._buffer = data[end:]
+        return self._process(data[:end])
 
-    def _count(self, data: bytes) -> Pieces | None:
+    def _process(self, data: bytes) -> EventBatch | None:
         if self._resuming:
-            data = self._without_repeats(data)
+            data = self._drop_duplicates(data)
             self._resuming = False
         events = data.count(b"\ndata:") + data.startswith(b"data:")
-        if data.endswith(DONE):
+        if data.endswith(DONE_EVENTS):
             self.done = True
             events -= 1
         self.position += events
-        if NO_CHOICES.search(data):
-            data, events = self._take_usage(data, events)
-        return Pieces(data, events)
+        if EMPTY_CHOICES.search(data):
+            data, events = self._extract_usage(data, events)
+        return EventBatch(data, events)
 
-    def _without_repeats(self, data: bytes) -> bytes:
+    def _drop_duplicates(self, data: bytes) -> bytes:
         # A resumed stream may start before the asked position; its event ids tell. Events
         # that the caller already has are dropped, and a hole means tokens were lost.
         kept = []
-        wanted = self.position
+        expected = self.position
         for event in data.split(EVENT_END)[:-1]:
             found = EVENT_ID.search(event)
             if found is not None:
                 number = int(found[1])
                 if number < self.position:
                     continue
-                if number != wanted:
+                if number != expected:
                     raise ValueError("tokens are missing after a resume")
-                wanted += 1
+                expected += 1
             kept.append(event + EVENT_END)
         return b"".join(kept)
 
-    def _take_usage(self, data: bytes, events: int) -> tuple[bytes, int]:
+    def _extract_usage(self, data: bytes, events: int) -> tuple[bytes, int]:
         kept = []
         for event in data.split(EVENT_END)[:-1]:
-            if NO_CHOICES.search(event):
+            if EMPTY_CHOICES.search(event):
                 self.usage = usage_of(event.partition(b"data:")[2]) or self.usage
                 events -= 1
                 if self._strip_usage:
--- a/src/hickorybeam/dispatch/attempts.py
+++ b/src/hickorybeam/dispatch/attempts.py
@@ -8,7 +8,7 @@
 
 import anyio
 
-from hickorybeam.dispatch.messages import Begun, Ended, Offer, PeerEnded, Retry
+from hickorybeam.dispatch.messages import FirstToken, ForwardEnded, Offer, Retry, RunEnded
 from hickorybeam.errors import ErrorKind, GatewayError, Ran
 from hickorybeam.kernel import Reply
 from hickorybeam.model import ResponseChunk, ResponseEnd, ResponseHead, VmState
@@ -20,16 +20,16 @@
     from collections.abc import AsyncGenerator, AsyncIterator
 
     from hickorybeam.clock import Clock
-    from hickorybeam.dispatch.load_task import LoadTask
-    from hickorybeam.dispatch.metrics import LoadMetrics
+    from hickorybeam.dispatch.metrics import DispatchMetrics
     from hickorybeam.dispatch.running import RunningCall
+    from hickorybeam.dispatch.scheduler_task import SchedulerTask
     from hickorybeam.model import EntryVm, ResponsePart
     from hickorybeam.policy.job import Decision, Job
     from hickorybeam.policy.retry import RetryBudget
     from hickorybeam.ports import BackendClient, ConfigView, Members, Peers
     from hickorybeam.telemetry import Counters
 
-__all__ = ("Attempts", "Neighbours", "close_parts")
+__all__ = ("AttemptServices", "Attempts", "close_parts")
 
 CLOSE_TIMEOUT_S = 1.0
 FIRST_SERVER_ERROR = 500
@@ -37,7 +37,7 @@
 
 # What another VM may answer that leaves this region's own queue as the way out: it did not
 # run the call, and the reason is its own state, not the call.
-FALL_BACK = frozenset(
+FALLBACK_KINDS = frozenset(
     {
         ErrorKind.OVERLOADED,
         ErrorKind.VM_FULL,
@@ -53,7 +53,7 @@
         ErrorKind.BACKEND_REFUSED,
     }
 )
-FAILED_KINDS = frozenset(
+SERVER_FAILURE_KINDS = frozenset(
     {
         ErrorKind.BACKEND_FAILED,
         ErrorKind.BACKEND_SILENT,
@@ -64,7 +64,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Neighbours:
+class AttemptServices:
     """What the attempts of every call share."""
 
     clock: Clock
@@ -72,11 +72,11 @@
     members: Members
     backends: BackendClient
     peers: Peers | None
-    load: LoadTask
+    scheduler: SchedulerTask
     retries: RetryBudget
     rng: random.Random
     counters: Counters
-    metrics: LoadMetrics
+    metrics: DispatchMetrics
 
 
 class Attempts:
@@ -87,103 +87,105 @@
     :param deadline: absolute, in ms of the clock.
     """
 
-    def __init__(self, near: Neighbours, running: RunningCall, job: Job, *, deadline: int) -> None:
-        self._near = near
+    def __init__(
+        self, services: AttemptServices, running: RunningCall, job: Job, *, deadline_ms: int
+    ) -> None:
+        self._services = services
         self._running = running
         self._job = job
-        self._deadline = deadline
+        self._deadline_ms = deadline_ms
         self._tried: frozenset[str] = frozenset()
-        self._count = 0
-        self._pause = 0
-        self._used = 0
+        self._attempt_count = 0
+        self._backoff_ms = 0
+        self._used_tokens = 0
 
     async def run(self, first: Decision) -> AsyncGenerator[ResponsePart, None]:
         """Yield the answer's parts, starting from the first decision."""
         decision = first
         while True:
-            self._count += 1
+            self._attempt_count += 1
             try:
-                async with aclosing(self._carry_out(decision)) as parts:
+                async with aclosing(self._run_attempt(decision)) as parts:
                     async for part in parts:
-                        self._running.begun = True
+                        self._running.response_started = True
                         yield part
                 return
             except GatewayError as exc:
-                decision = await self._next(decision, exc)
+                decision = await self._decide_next(decision, exc)
 
-    def _carry_out(self, decision: Decision) -> AsyncGenerator[ResponsePart, None]:
+    def _run_attempt(self, decision: Decision) -> AsyncGenerator[ResponsePart, None]:
         match decision:
             case Start(backend=backend):
-                return self._on_backend(backend)
+                return self._run_on_backend(backend)
             case Spill(region=region):
-                return self._in_region(region)
+                return self._run_in_region(region)
             case Refuse():
-                raise refusal(decision)
+                raise refusal_error(decision)
 
-    async def _on_backend(self, name: str) -> AsyncGenerator[ResponsePart, None]:
-        near, running, job = self._near, self._running, self._job
+    async def _run_on_backend(self, name: str) -> AsyncGenerator[ResponsePart, None]:
+        services, running, job = self._services, self._running, self._job
         outcome = Outcome.CANCELLED
-        self._used = 0
+        self._used_tokens = 0
         parts: AsyncIterator[ResponsePart] | None = None
         try:
-            server = near.config.current().backends.get(name)
+            server = services.config.current().backends.get(name)
             if server is None:
                 raise GatewayError(ErrorKind.BACKEND_REFUSED, "a ticket removed it")
             # What the queue took is gone: the engine plans with what is left.
-            call = replace(running.call, deadline_ms=self._left_ms())
-            parts = near.backends.run(call, server)
-            failed = begun = False
-            async for part in self._parts(parts):
+            call = replace(running.call, deadline_ms=self._remaining_ms())
+            parts = services.backends.run(call, server)
+            failed = first_token_reported = False
+            async for part in self._held_head_parts(parts):
                 if isinstance(part, ResponseHead):
                     failed = part.status >= FIRST_SERVER_ERROR
                     yield replace(part, headers=(*part.headers, (REGION_HEADER, server.region)))
                     continue
-                if not begun:
-                    begun = True
-                    near.load.mailbox.post(Begun(job, name))
+                if not first_token_reported:
+                    first_token_reported = True
+                    services.scheduler.mailbox.post(FirstToken(job, name))
                 if isinstance(part, ResponseEnd):
                     outcome = Outcome.FAILED if failed else Outcome.OK
                 yield part
         except GatewayError as exc:
-            outcome = self._blame(exc)
+            outcome = self._outcome_of(exc)
             raise
         finally:
-            near.load.mailbox.post(Ended(job, name, outcome, self._used))
+            services.scheduler.mailbox.post(RunEnded(job, name, outcome, self._used_tokens))
             if parts is not None:
                 await close_parts(parts)
 
-    async def _in_region(self, region: str) -> AsyncGenerator[ResponsePart, None]:
-        near, running = self._near, self._running
-        vm = self._vm_in(region)
+    async def _run_in_region(self, region: str) -> AsyncGenerator[ResponsePart, None]:
+        services, running = self._services, self._running
+        vm = self._choose_vm(region)
         call = replace(
             running.call,
-            deadline_ms=self._left_ms(),
-            position=max(running.call.position, near.config.current().position),
+            deadline_ms=self._remaining_ms(),
+            position=max(running.call.position, services.config.current().position),
             # The receiver would take an idempotency key for one of its own issue.
             idempotency_key="",
         )
         parts: AsyncIterator[ResponsePart] | None = None
-        answered = False
+        responded = False
         running.region = region
         try:
-            if vm is None or near.peers is None:
+            if vm is None or services.peers is None:
                 raise GatewayError(ErrorKind.PEER_UNREACHABLE, ran=Ran.NO)
-            parts = near.peers.forward(call, vm)
-            async for part in self._parts(parts):
-                answered = True
+            parts = services.peers.forward(call, vm)
+            async for part in self._held_head_parts(parts):
+                responded = True
                 yield part
         except GatewayError as exc:
-            answered = answered or exc.kind not in FALL_BACK
+            responded = responded or exc.kind not in FALLBACK_KINDS
             raise
         finally:
-            near.load.mailbox.post(PeerEnded(region, answered))
+            services.scheduler.mailbox.post(ForwardEnded(region, responded))
             if parts is not None:
                 await close_parts(parts)
 
-    def _left_ms(self) -> int:
-        return max(0, self._deadline - self._near.clock.now())
+    def _remaining_ms(self) -> int:
+        return max(0, self._deadline_ms - self._services.clock.now())
 
-    async def _parts(
+    async def _held_head_parts(
         self, parts: AsyncIterator[ResponsePart]
     ) -> AsyncGenerator[ResponsePart, None]:
         """Yield the parts, the head together with the first part that follows it.
@@ -192,96 +194,102 @@
         engine fails or is slow in between can still run elsewhere; the caller loses nothing,
         since the head alone tells it nothing.
         """
-        running, clock = self._running, self._near.clock
+        running, clock = self._running, self._services.clock
         running.sent = True
-        head = await running.first_part(parts, clock=clock, deadline=self._deadline)
+        head = await running.first_part(parts, clock=clock, deadline_ms=self._deadline_ms)
         part = head
         if isinstance(head, ResponseHead):
-            part = await running.first_part(parts, clock=clock, deadline=self._deadline)
+            part = await running.first_part(parts, clock=clock, deadline_ms=self._deadline_ms)
             yield head
         while not isinstance(part, ResponseEnd):
             if isinstance(part, ResponseChunk):
-                self._used += part.tokens
+                self._used_tokens += part.tokens
             yield part
             part = await running.next_part(parts)
-        self._used = self._job.cost if part.usage is None else part.usage.total
+        self._used_tokens = self._job.cost if part.usage is None else part.usage.total
         yield part
 
-    async def _next(self, last: Decision, exc: GatewayError) -> Decision:
+    async def _decide_next(self, last: Decision, exc: GatewayError) -> Decision:
         """Return what to do after a failed attempt, or raise its error."""
         match last:
             case Refuse():
                 raise exc
-            case Spill() if not self._running.begun and exc.ran is Ran.NO and exc.kind in FALL_BACK:
+            case Spill() if (
+                not self._running.response_started
+                and exc.ran is Ran.NO
+                and exc.kind in FALLBACK_KINDS
+            ):
                 self._running.sent = False
-                self._near.counters.retries.labels(exc.kind.value).inc()
-                stay = replace(self._job, may_spill=False)
-                self._job = stay
-                return await self._running.wait(ask_offer(self._near.load, stay, self._running))
+                self._services.counters.retries.labels(exc.kind.value).inc()
+                own_region_job = replace(self._job, may_spill=False)
+                self._job = own_region_job
+                return await self._running.wait(
+                    offer_job(self._services.scheduler, own_region_job, self._running)
+                )
             case Start(backend=backend):
                 self._tried |= {backend}
             case Spill():
                 pass
-        denied = self._denied(exc)
+        denied = self._retry_denied(exc)
         if denied is None:
-            decision = await self._again(exc)
+            decision = await self._retry(exc)
             if decision is not None:
-                self._near.counters.retries.labels(exc.kind.value).inc()
+                self._services.counters.retries.labels(exc.kind.value).inc()
                 return decision
             denied = RetryDenied.NO_OTHER
-        self._near.metrics.not_retried.labels(denied.value).inc()
+        self._services.metrics.retries_denied.labels(denied.value).inc()
         raise exc
 
-    def _denied(self, exc: GatewayError) -> RetryDenied | None:
-        if self._running.begun:
+    def _retry_denied(self, exc: GatewayError) -> RetryDenied | None:
+        if self._running.response_started:
             return RetryDenied.ANSWER_BEGUN
         if not may_retry(exc, idempotent=self._running.call.idempotent):
             return RetryDenied.NOT_REPEATABLE
-        if self._count >= MAX_ATTEMPTS:
+        if self._attempt_count >= MAX_ATTEMPTS:
             return RetryDenied.ATTEMPTS
-        self._pause = backoff_ms(self._pause, self._near.rng)
-        if self._near.clock.now() + self._pause >= self._deadline:
+        self._backoff_ms = backoff_ms(self._backoff_ms, self._services.rng)
+        if self._services.clock.now() + self._backoff_ms >= self._deadline_ms:
             return RetryDenied.DEADLINE
-        if not self._near.retries.take():
+        if not self._services.retries.take():
             return RetryDenied.BUDGET
         return None
 
-    async def _again(self, exc: GatewayError) -> Decision | None:
+    async def _retry(self, exc: GatewayError) -> Decision | None:
         self._running.recalled = False
         if exc.ran is Ran.NO:
             self._running.sent = False
-        await self._running.wait(self._near.clock.sleep(self._pause))
+        await self._running.wait(self._services.clock.sleep(self._backoff_ms))
         reply: Reply[Decision | None] = Reply()
-        self._near.load.mailbox.post(Retry(self._job, self._tried, reply))
+        self._services.scheduler.mailbox.post(Retry(self._job, self._tried, reply))
         return await self._running.wait(reply.wait())
 
-    def _blame(self, exc: GatewayError) -> Outcome:
-        if self._running.ended or self._running.recalled:
+    def _outcome_of(self, exc: GatewayError) -> Outcome:
+        if self._running.terminated or self._running.recalled:
             return Outcome.CANCELLED
         if exc.kind is ErrorKind.BACKEND_REFUSED:
             return Outcome.REFUSED
-        return Outcome.FAILED if exc.kind in FAILED_KINDS else Outcome.CANCELLED
+        return Outcome.FAILED if exc.kind in SERVER_FAILURE_KINDS else Outcome.CANCELLED
 
-    def _vm_in(self, region: str) -> EntryVm | None:
-        found = [
+    def _choose_vm(self, region: str) -> EntryVm | None:
+        candidates = [
             vm
-            for vm in self._near.members.vms()
+            for vm in self._services.members.vms()
             if vm.region == region and vm.state is VmState.SERVING
         ]
-        return self._near.rng.choice(found) if found else None
+        return self._services.rng.choice(candidates) if candidates else None
 
 
-def refusal(decision: Refuse) -> GatewayError:
+def refusal_error(decision: Refuse) -> GatewayError:
     """Return the error for a refusal of the load policy."""
     return GatewayError(
         decision.kind, decision.reason.value, retry_after_ms=decision.retry_after_ms
     )
 
 
-async def ask_offer(load: LoadTask, job: Job, running: RunningCall) -> Decision:
+async def offer_job(scheduler: SchedulerTask, job: Job, running: RunningCall) -> Decision:
     """Offer a job and wait for the decision."""
     reply: Reply[Decision] = Reply()
-    load.mailbox.post(Offer(job, reply, running.recall))
+    scheduler.mailbox.post(Offer(job, reply, running.recall))
     return await reply.wait()
 
 
--- a/src/hickorybeam/dispatch/checks.py
+++ b/src/hickorybeam/dispatch/checks.py
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     from hickorybeam.model import Call, ClientAccount, ConfigState
 
-__all__ = ("Permit", "check_call", "fault_of_running")
+__all__ = ("Permit", "check_call", "termination_error")
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -45,12 +45,12 @@
         raise GatewayError(ErrorKind.RESIDENCY)
     return Permit(
         account=account,
-        regions=allowed & _placement(call, account, state),
+        regions=allowed & _serving_regions(call, account, state),
         position=state.position,
     )
 
 
-def fault_of_running(call: Call, state: ConfigState, *, regions: set[str]) -> GatewayError | None:
+def termination_error(call: Call, state: ConfigState, *, regions: set[str]) -> GatewayError | None:
     """Return why a call whose data is in these regions must end, if it must."""
     account = state.accounts.get(call.account)
     if account is None or state.is_withdrawn(call.key_digest):
@@ -61,7 +61,7 @@
     return None
 
 
-def _placement(call: Call, account: ClientAccount, state: ConfigState) -> frozenset[str]:
+def _serving_regions(call: Call, account: ClientAccount, state: ConfigState) -> frozenset[str]:
     if call.kind is CallKind.PLAIN:
         service = state.services.get(call.served)
         if service is None or (account.services and call.served not in account.services):
--- a/src/hickorybeam/dispatch/messages.py
+++ b/src/hickorybeam/dispatch/messages.py
@@ -11,7 +11,16 @@
     from hickorybeam.kernel import Reply
     from hickorybeam.policy.job import Decision, Job, Outcome
 
-__all__ = ("Begun", "Done", "Ended", "Message", "Offer", "PeerEnded", "Retry", "Tick")
+__all__ = (
+    "CallEnded",
+    "FirstToken",
+    "ForwardEnded",
+    "Offer",
+    "Retry",
+    "RunEnded",
+    "SchedulerMessage",
+    "Tick",
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,7 +45,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Begun:
+class FirstToken:
     """A job's first token came."""
 
     job: Job
@@ -44,25 +53,25 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
+class RunEnded:
     """A run on a backend server ended."""
 
     job: Job
     backend: str
     outcome: Outcome
-    used: int
+    used_tokens: int
 
 
 @dataclass(frozen=True, slots=True)
-class PeerEnded:
+class ForwardEnded:
     """A forwarded call was answered by its region, or not."""
 
     region: str
-    answered: bool
+    responded: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Done:
+class CallEnded:
     """A call is over, however it ended."""
 
     job: Job
@@ -73,4 +82,4 @@
     """Time to look at configuration, reports and what waits."""
 
 
-Message = Offer | Retry | Begun | Ended | PeerEnded | Done | Tick
+SchedulerMessage = Offer | Retry | FirstToken | RunEnded | ForwardEnded | CallEnded | Tick
--- a/src/hickorybeam/dispatch/metrics.py
+++ b/src/hickorybeam/dispatch/metrics.py
@@ -12,15 +12,15 @@
     from hickorybeam.policy.scheduler import Scheduler
     from hickorybeam.telemetry import Counters
 
-__all__ = ("Explanation", "Explanations", "LoadMetrics")
+__all__ = ("DispatchMetrics", "Explanation", "Explanations")
 
 MS_PER_SECOND = 1000
-KEPT_FOR_EACH_ACCOUNT = 8
+MAX_EXPLANATIONS_PER_ACCOUNT = 8
 # Sized for 850 accounts; above this the one unheard of for longest goes first.
-MOST_ACCOUNTS = 1_000
+MAX_ACCOUNTS = 1_000
 
 
-class LoadMetrics:
+class DispatchMetrics:
     """The series of dispatch. Labels are closed lists, or names from the configuration."""
 
     def __init__(self, counters: Counters) -> None:
@@ -30,7 +30,7 @@
         self.spilled = counters.counter(
             "dispatch_spills", "Calls sent to another region", ("region", "reason")
         )
-        self.not_retried = counters.counter(
+        self.retries_denied = counters.counter(
             "dispatch_retries_denied", "Failed calls not sent again", ("reason",)
         )
         self.ended_by_ticket = counters.counter(
@@ -56,9 +56,9 @@
         self._ejected = counters.gauge(
             "dispatch_backend_ejected", "1 while a backend server gets no work", ("backend",)
         )
-        self._shown: set[str] = set()
+        self._shown_backends: set[str] = set()
 
-    def show(self, scheduler: Scheduler, now: int) -> None:
+    def update_gauges(self, scheduler: Scheduler, now: int) -> None:
         """Set the gauges from the scheduler's state."""
         for served, (jobs, tokens) in scheduler.waiting().items():
             self._queued.labels(served).set(jobs)
@@ -66,17 +66,17 @@
         self._memory.set(scheduler.memory_held)
         table = scheduler.backends
         limits, in_flight = table.limits(), table.in_flight()
-        for name in self._shown - limits.keys():
+        for name in self._shown_backends - limits.keys():
             for gauge in (self._in_flight, self._limit, self._ejected):
                 gauge.remove(name)
-        self._shown = set(limits)
+        self._shown_backends = set(limits)
         for name, limit in limits.items():
             ejected = table.health.state(name) is HealthState.EJECTED
             self._limit.labels(name).set(limit)
             self._in_flight.labels(name).set(in_flight[name])
             self._ejected.labels(name).set(ejected)
 
-    def waited(self, ms: int, *, long: bool, outcome: str) -> None:
+    def observe_wait(self, ms: int, *, long: bool, outcome: str) -> None:
         """Count one decision and how long it took."""
         length = "long" if long else "short"
         self.wait.labels(length, outcome).observe(ms / MS_PER_SECOND)
@@ -103,18 +103,21 @@
     """The last few explanations of each account, for the operator's status command."""
 
     def __init__(self) -> None:
-        self._kept: OrderedDict[str, deque[Explanation]] = OrderedDict()
+        self._by_account: OrderedDict[str, deque[Explanation]] = OrderedDict()
 
     def add(self, account: str, explanation: Explanation) -> None:
         """Keep one explanation, dropping the oldest."""
-        ring = self._kept.get(account)
-        if ring is None:
-            ring = self._kept[account] = deque(maxlen=KEPT_FOR_EACH_ACCOUNT)
-        ring.append(explanation)
-        self._kept.move_to_end(account)
-        if len(self._kept) > MOST_ACCOUNTS:
-            self._kept.popitem(last=False)
+        recent = self._by_account.get(account)
+        if recent is None:
+            recent = self._by_account[account] = deque(maxlen=MAX_EXPLANATIONS_PER_ACCOUNT)
+        recent.append(explanation)
+        self._by_account.move_to_end(account)
+        if len(self._by_account) > MAX_ACCOUNTS:
+            self._by_account.popitem(last=False)
 
     def as_dict(self) -> dict[str, list[dict[str, object]]]:
         """Return everything kept, newest last, ready for JSON."""
-        return {name: [asdict(one) for one in ring] for name, ring in self._kept.items()}
+        return {
+            name: [asdict(explanation) for explanation in recent]
+            for name, recent in self._by_account.items()
+        }
--- a/src/hickorybeam/dispatch/running.py
+++ b/src/hickorybeam/dispatch/running.py
@@ -6,7 +6,7 @@
 
 import anyio
 
-from hickorybeam.dispatch.checks import fault_of_running
+from hickorybeam.dispatch.checks import termination_error
 from hickorybeam.errors import ErrorKind, GatewayError, Ran
 
 if TYPE_CHECKING:
@@ -31,20 +31,20 @@
         self.call = call
         self.region = region
         self.sent = False
-        self.begun = False
+        self.response_started = False
         self.recalled = False
-        self._fault: GatewayError | None = None
+        self._error: GatewayError | None = None
         self._scope: anyio.CancelScope | None = None
 
     @property
-    def ended(self) -> bool:
+    def terminated(self) -> bool:
         """Whether a ticket ended the call."""
-        return self._fault is not None
+        return self._error is not None
 
-    def end(self, fault: GatewayError) -> None:
+    def terminate(self, error: GatewayError) -> None:
         """Make the current wait, or else the next one, raise this fault."""
-        if self._fault is None:
-            self._fault = fault
+        if self._error is None:
+            self._error = error
         if self._scope is not None:
             self._scope.cancel()
 
@@ -53,7 +53,7 @@
 
         Ignored once anything reached the caller, and for a call that may run only once.
         """
-        if self.begun or not self.call.idempotent or self._scope is None:
+        if self.response_started or not self.call.idempotent or self._scope is None:
             return
         self.recalled = True
         self._scope.cancel()
@@ -67,16 +67,16 @@
         """
         with anyio.CancelScope() as scope:
             self._scope = scope
-            if self._fault is not None:
+            if self._error is not None:
                 scope.cancel()
             try:
                 result = await step
             finally:
                 self._scope = None
-            if self._fault is None and not self.recalled:
+            if self._error is None and not self.recalled:
                 return result
-        if self._fault is not None:
-            raise self._fault
+        if self._error is not None:
+            raise self._error
         raise GatewayError(ErrorKind.BACKEND_SILENT, "recalled from a slow server")
 
     async def next_part(self, parts: AsyncIterator[ResponsePart]) -> ResponsePart:
@@ -87,11 +87,11 @@
             raise GatewayError(ErrorKind.STREAM_BROKEN) from None
 
     async def first_part(
-        self, parts: AsyncIterator[ResponsePart], *, clock: Clock, deadline: int
+        self, parts: AsyncIterator[ResponsePart], *, clock: Clock, deadline_ms: int
     ) -> ResponsePart:
         """Return the first part, or raise ``DEADLINE`` if it does not come in time."""
-        left = deadline - clock.now()
-        with anyio.move_on_after(max(0, left) / 1000):
+        remaining_ms = deadline_ms - clock.now()
+        with anyio.move_on_after(max(0, remaining_ms) / 1000):
             return await self.next_part(parts)
         raise GatewayError(ErrorKind.DEADLINE, "no answer began in time", ran=Ran.UNKNOWN)
 
@@ -102,8 +102,8 @@
     :param here: this VM's region, through which the data of every call passes.
     """
 
-    def __init__(self, here: str) -> None:
-        self._here = here
+    def __init__(self, own_region: str) -> None:
+        self._own_region = own_region
         self._calls: set[RunningCall] = set()
 
     def __len__(self) -> int:
@@ -117,7 +117,7 @@
         """Forget a call that has ended."""
         self._calls.discard(running)
 
-    def apply(self, state: ConfigState) -> int:
+    def terminate_forbidden(self, state: ConfigState) -> int:
         """End every call that this state forbids.
 
         A call that may not be repeated and may already have reached its backend server runs
@@ -126,13 +126,13 @@
 
         :return: how many calls were ended.
         """
-        ended = 0
+        terminated = 0
         for running in tuple(self._calls):
             if running.sent and not running.call.idempotent:
                 continue
-            regions = {self._here, running.region}
-            fault = fault_of_running(running.call, state, regions=regions)
-            if fault is not None:
-                running.end(fault)
-                ended += 1
-        return ended
+            regions = {self._own_region, running.region}
+            error = termination_error(running.call, state, regions=regions)
+            if error is not None:
+                running.terminate(error)
+                terminated += 1
+        return terminated
--- a/src/hickorybeam/dispatch/service.py
+++ b/src/hickorybeam/dispatch/service.py
@@ -10,13 +10,13 @@
 
 import anyio
 
-from hickorybeam.dispatch.attempts import Attempts, Neighbours, ask_offer, refusal
+from hickorybeam.dispatch.attempts import Attempts, AttemptServices, offer_job, refusal_error
 from hickorybeam.dispatch.checks import check_call
-from hickorybeam.dispatch.load_task import LoadTask
-from hickorybeam.dispatch.messages import Done
-from hickorybeam.dispatch.metrics import Explanation, Explanations, LoadMetrics
+from hickorybeam.dispatch.messages import CallEnded
+from hickorybeam.dispatch.metrics import DispatchMetrics, Explanation, Explanations
+from hickorybeam.dispatch.reservation import TokenReservation
 from hickorybeam.dispatch.running import RunningCall, RunningCalls
-from hickorybeam.dispatch.spend import Spend
+from hickorybeam.dispatch.scheduler_task import SchedulerTask
 from hickorybeam.errors import ErrorKind, GatewayError
 from hickorybeam.kernel import Service
 from hickorybeam.model import ResponseHead
@@ -54,9 +54,9 @@
 
 # A forwarded call names the log position its sender acted on; this is how long the receiver
 # tries to catch up before it refuses as not run: two heartbeats (500 ms each by default).
-CATCH_UP_MS = 1_000
-DRAIN_POLL_MS = 50
-LOST_AFTER_MS = 500
+MAX_CATCH_UP_MS = 1_000
+DRAIN_POLL_INTERVAL_MS = 50
+DECISION_MARGIN_MS = 500
 
 
 class DispatchService(Service):
@@ -69,8 +69,8 @@
         self._clock = clock
         self._counters = counters
         self._region = cfg.vm.region
-        self._running = RunningCalls(self._region)
-        self._metrics = LoadMetrics(counters)
+        self._running_calls = RunningCalls(self._region)
+        self._metrics = DispatchMetrics(counters)
         self._explanations = Explanations()
         self._ids = itertools.count(1)
         self._retries = RetryBudget()
@@ -91,7 +91,7 @@
         members = kernel.find(MEMBERS, Members)  # type: ignore[type-abstract]
         backends = kernel.find(BACKENDS, BackendClient)  # type: ignore[type-abstract]
         peers = kernel.find(PEERS, Peers) if kernel.has(PEERS) else None  # type: ignore[type-abstract]
-        self._load = LoadTask(
+        self._scheduler_task = SchedulerTask(
             region=self._region,
             clock=self._clock,
             scheduler=self._scheduler,
@@ -100,13 +100,13 @@
             members=members,
             backends=backends,
         )
-        self._near = Neighbours(
+        self._attempt_services = AttemptServices(
             clock=self._clock,
             config=self._config,
             members=members,
             backends=backends,
             peers=peers,
-            load=self._load,
+            scheduler=self._scheduler_task,
             retries=self._retries,
             rng=self._rng,
             counters=self._counters,
@@ -115,25 +115,25 @@
 
     async def main(self, started: Started) -> None:
         """Run the load policy's task, and end calls that a ticket forbids."""
-        self._load.refresh()
+        self._scheduler_task.refresh_config()
         async with anyio.create_task_group() as tg:
-            tg.start_soon(self._load.run)
-            tg.start_soon(self._load.run_ticks)
+            tg.start_soon(self._scheduler_task.run)
+            tg.start_soon(self._scheduler_task.run_ticks)
             started()
             await self._watch_tickets()
 
     async def drain(self) -> None:
         """Refuse new calls and let the ones in flight run out."""
         self._draining = True
-        while len(self._running):
-            await self._clock.sleep(DRAIN_POLL_MS)
+        while len(self._running_calls):
+            await self._clock.sleep(DRAIN_POLL_INTERVAL_MS)
 
     def status(self) -> dict[str, object]:
         """Return queues, limits and the last reasons of each account, for operators."""
         table = self._scheduler.backends
         waiting = self._scheduler.waiting()
         return {
-            "running": len(self._running),
+            "running": len(self._running_calls),
             "waiting": {n: {"calls": jobs, "tokens": t} for n, (jobs, t) in waiting.items()},
             "limits": dict(table.limits()),
             "in_flight": dict(table.in_flight()),
@@ -144,21 +144,21 @@
 
     async def run(self, call: Call) -> AsyncIterator[ResponsePart]:
         """Run a call and yield its answer's parts."""
-        arrived = self._clock.now()
+        arrived_ms = self._clock.now()
         if call.idempotency_key:
             # It runs at most once; a second attempt after a byte was sent would break that.
             call = replace(call, idempotent=False)
         try:
             if self._draining:
                 raise GatewayError(ErrorKind.DRAINING)
-            state = await self._caught_up(call)
+            state = await self._config_for(call)
             permit = check_call(call, state, region=self._region)
-            job = self._job_of(call, permit, arrived)
-            self._refuse_early(job)
+            job = self._make_job(call, permit, arrived_ms)
+            self._raise_early_refusal(job)
             async with aclosing(self._run(call, job)) as parts:
                 async for part in parts:
                     if isinstance(part, ResponseHead):
-                        self._note_first_part(arrived, call)
+                        self._observe_first_part(arrived_ms, call)
                     yield part
         except GatewayError as exc:
             self._counters.refusals.labels(exc.kind.value).inc()
@@ -171,24 +171,24 @@
         holds no place; the early refusal before it keeps overload from reaching the budget.
         """
         running = RunningCall(call, self._region)
-        spend = Spend(call, self._budget)
-        self._running.add(running)
+        reservation = TokenReservation(call, self._budget)
+        self._running_calls.add(running)
         try:
-            await running.wait(spend.take())
+            await running.wait(reservation.reserve())
             self._retries.record_first_attempt()
             decision = await self._decide(running, job)
-            self._note(job, decision)
+            self._record_decision(job, decision)
             if isinstance(decision, Refuse):
-                raise refusal(decision)
-            attempts = Attempts(self._near, running, job, deadline=job.deadline_ms)
+                raise refusal_error(decision)
+            attempts = Attempts(self._attempt_services, running, job, deadline_ms=job.deadline_ms)
             async with aclosing(attempts.run(decision)) as parts:
                 async for part in parts:
-                    spend.saw(part)
+                    reservation.record_part(part)
                     yield part
         finally:
-            self._running.remove(running)
-            self._load.mailbox.post(Done(job))
-            spend.settle()
+            self._running_calls.remove(running)
+            self._scheduler_task.mailbox.post(CallEnded(job))
+            reservation.settle()
 
     async def _decide(self, running: RunningCall, job: Job) -> Decision:
         """Wait for the load policy's decision, bounded a little past the call's deadline.
@@ -196,26 +196,26 @@
         The policy answers every job in time unless its task crashed while it held the job.
         The message is then lost; without this bound its caller would wait for ever.
         """
-        left = max(0, job.deadline_ms - self._clock.now()) + LOST_AFTER_MS
-        with anyio.move_on_after(left / 1000):
-            return await running.wait(ask_offer(self._load, job, running))
-        raise GatewayError(ErrorKind.DEADLINE, retry_after_ms=LOST_AFTER_MS)
+        remaining_ms = max(0, job.deadline_ms - self._clock.now()) + DECISION_MARGIN_MS
+        with anyio.move_on_after(remaining_ms / 1000):
+            return await running.wait(offer_job(self._scheduler_task, job, running))
+        raise GatewayError(ErrorKind.DEADLINE, retry_after_ms=DECISION_MARGIN_MS)
 
-    async def _caught_up(self, call: Call) -> ConfigState:
+    async def _config_for(self, call: Call) -> ConfigState:
         state = self._config.current()
         if call.position <= state.position:
             return state
-        return await self._config.wait_for(call.position, timeout_ms=CATCH_UP_MS)
+        return await self._config.wait_for(call.position, timeout_ms=MAX_CATCH_UP_MS)
 
-    def _job_of(self, call: Call, permit: Permit, arrived: int) -> Job:
+    def _make_job(self, call: Call, permit: Permit, arrived_ms: int) -> Job:
         account = permit.account
         return Job(
             id=next(self._ids),
             account=account.name,
             served=call.served,
             cost=max(1, call.cost),
-            arrived_ms=arrived,
-            deadline_ms=arrived + call.deadline_ms,
+            arrived_ms=arrived_ms,
+            deadline_ms=arrived_ms + call.deadline_ms,
             weight=effective_weight(account.weight, account.priority),
             priority=call.priority,
             prompt_tokens=call.prompt_tokens,
@@ -225,30 +225,32 @@
             regions=permit.regions,
         )
 
-    def _refuse_early(self, job: Job) -> None:
-        self._load.catch_up()
+    def _raise_early_refusal(self, job: Job) -> None:
+        self._scheduler_task.refresh_if_stale()
         refused = self._scheduler.early_refusal(job, self._clock.now())
         if refused is not None:
-            self._note(job, refused)
-            raise refusal(refused)
+            self._record_decision(job, refused)
+            raise refusal_error(refused)
 
-    def _note(self, job: Job, decision: Decision) -> None:
+    def _record_decision(self, job: Job, decision: Decision) -> None:
         """Count a decision and keep its reason for the operator."""
-        waited = self._clock.now() - job.arrived_ms
+        waited_ms = self._clock.now() - job.arrived_ms
         long = self._scheduler.is_long(job)
         match decision:
             case Start():
-                self._metrics.waited(waited, long=long, outcome="started")
+                self._metrics.observe_wait(waited_ms, long=long, outcome="started")
             case Spill(region=region, reason=reason):
-                self._metrics.waited(waited, long=long, outcome="spilled")
+                self._metrics.observe_wait(waited_ms, long=long, outcome="spilled")
                 self._metrics.spilled.labels(region, reason.value).inc()
-                self._explain(job, "spilled", reason.value, region=region)
-            case Refuse(kind=kind, reason=reason, retry_after_ms=after):
-                self._metrics.waited(waited, long=long, outcome="refused")
+                self._record_explanation(job, "spilled", reason.value, region=region)
+            case Refuse(kind=kind, reason=reason, retry_after_ms=retry_after_ms):
+                self._metrics.observe_wait(waited_ms, long=long, outcome="refused")
                 self._metrics.refused.labels(reason.value).inc()
-                self._explain(job, kind.value, reason.value, retry_after_ms=after)
+                self._record_explanation(
+                    job, kind.value, reason.value, retry_after_ms=retry_after_ms
+                )
 
-    def _explain(
+    def _record_explanation(
         self,
         job: Job,
         kind: str,
@@ -267,14 +269,14 @@
         )
         self._explanations.add(job.account, explanation)
 
-    def _note_first_part(self, arrived: int, call: Call) -> None:
-        place = "forwarded" if call.hops else "entry"
-        seconds = (self._clock.now() - arrived) / 1000
-        self._metrics.first_part.labels(place).observe(seconds)
+    def _observe_first_part(self, arrived_ms: int, call: Call) -> None:
+        hop_label = "forwarded" if call.hops else "entry"
+        seconds = (self._clock.now() - arrived_ms) / 1000
+        self._metrics.first_part.labels(hop_label).observe(seconds)
 
     async def _watch_tickets(self) -> None:
         position = -1
         while True:
             state = await self._config.wait_past(position)
             position = state.position
-            self._metrics.ended_by_ticket.inc(self._running.apply(state))
+            self._metrics.ended_by_ticket.inc(self._running_calls.terminate_forbidden(state))
--- a/tests/steps/backends/backends_steps.py
+++ b/tests/steps/backends/backends_steps.py
@@ -46,7 +46,9 @@
 
 def read(context, call, name, **options):
     context.sent = call
-    context.got = context.call(lambda: context.rig.run_call(call, context.rig.servers[name], **options))
+    context.got = context.call(
+        lambda: context.rig.run_call(call, context.rig.servers[name], **options)
+    )
 
 
 @when("the backends rig reads an engine call, streamed: {word}")
--- a/tests/steps/backends/wire_steps.py
+++ b/tests/steps/backends/wire_steps.py
@@ -92,7 +92,7 @@
 
 @then("the backends rig keeps the raw connection: {word}")
 def step_kept(context, word):
-    idle = context.rig.backends.pool.idle(context.rig.servers["raw"])
+    idle = context.rig.backends.pool.idle_count(context.rig.servers["raw"])
     assert idle == (1 if word == "yes" else 0), idle
 
 
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -485,8 +485,8 @@
     Mutation(
         "no credential reaches a backend server",
         "backends/headers.py",
-        "NOT_FORWARDED = HOP_BY_HOP | CREDENTIALS | OURS",
-        "NOT_FORWARDED = HOP_BY_HOP | OURS",
+        "NOT_FORWARDED = HOP_BY_HOP | CREDENTIALS | GATEWAY_HEADERS",
+        "NOT_FORWARDED = HOP_BY_HOP | GATEWAY_HEADERS",
         "backends",
     ),
     Mutation(
@@ -507,21 +507,22 @@
     Mutation(
         "an answer that began is not started again",
         "dispatch/attempts.py",
-        "        if self._running.begun:\n            return RetryDenied.ANSWER_BEGUN",
+        "        if self._running.response_started:\n            return RetryDenied.ANSWER_BEGUN",
         "        if False:\n            return RetryDenied.ANSWER_BEGUN",
         "dispatch",
     ),
     Mutation(
         "an engine is told the deadline that is left",
         "dispatch/attempts.py",
-        "            call = replace(running.call, deadline_ms=self._left_ms())\n            parts",
+        "            call = replace(running.call, deadline_ms=self._remaining_ms())\n"
+        "            parts",
         "            call = running.call\n            parts",
         "dispatch/load.feature",
     ),
     Mutation(
         "what is known after a rest is caught up",
         "dispatch/service.py",
-        "        self._load.catch_up()\n",
+        "        self._scheduler_task.refresh_if_stale()\n",
         "",
         "dispatch/load.feature",
     ),
