--- a/src/hickorybeam/backends/__init__.py
+++ b/src/hickorybeam/backends/__init__.py
@@ -1,4 +1,4 @@
-"""HTTP towards engines and plain services."""
+"""HTTP client of engines and plain services."""
 
 from __future__ import annotations
 
--- a/src/hickorybeam/backends/cancels.py
+++ b/src/hickorybeam/backends/cancels.py
@@ -1,4 +1,4 @@
-"""Tells engines to stop streams that nobody reads any more."""
+"""Cancels streams at engines that nobody reads any more."""
 
 from __future__ import annotations
 
@@ -25,16 +25,16 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelRequest:
-    """One stream to stop."""
+    """One stream to cancel."""
 
     backend: BackendServer
     stream_id: str
 
 
 class StreamCanceller:
-    """A task that owns the cancel calls, so that closing an answer never waits for one.
+    """Sends cancel requests from its own tasks, so that closing a response never waits for one.
 
-    A cancel that is lost costs the engine the rest of one answer, so it is not repeated.
+    A lost cancel costs the engine the rest of one response, so it isn't retried.
     """
 
     def __init__(self, client: HttpClient, *, sent: Counter) -> None:
@@ -43,12 +43,12 @@
         self._mailbox: Mailbox[CancelRequest] = Mailbox(size=MAX_QUEUED_CANCELS)
 
     def post(self, backend: BackendServer, stream_id: str) -> None:
-        """Ask for a stream to be stopped."""
+        """Queue the cancellation of a stream."""
         if not self._mailbox.post(CancelRequest(backend, stream_id)):
             self._sent.labels("dropped").inc()
 
     async def run(self) -> None:
-        """Send cancels until cancelled; several of these run side by side."""
+        """Send cancel requests until cancelled; several of these run concurrently."""
         async for cancel in self._mailbox:
             await self._send(cancel)
 
--- a/src/hickorybeam/backends/engine.py
+++ b/src/hickorybeam/backends/engine.py
@@ -1,4 +1,4 @@
-"""Calls to model engines: streamed and whole answers, resume after a lost connection."""
+"""Calls to model engines: streamed and other responses, resume after a lost connection."""
 
 from __future__ import annotations
 
@@ -32,13 +32,13 @@
 NOT_FOUND = 404
 FIRST_SERVER_ERROR = 500
 OK = 200
-# An engine whose connections break again and again is given up; dispatch then decides.
+# With more broken connections the attempt fails, and dispatch decides on a retry.
 MAX_RESUMES = 3
 MAX_BODY_BYTES = 16_000_000
 
 
 class EngineCall:
-    """One streamed call and where it stands."""
+    """One call to an engine and the position reached in its stream."""
 
     def __init__(
         self, client: HttpClient, call: Call, backend: BackendServer, retries: Counter
@@ -56,7 +56,7 @@
         self.exchange: Exchange | None = None
 
     async def open(self) -> Exchange:
-        """Send the call to the engine."""
+        """Send the call and read the head of the response."""
         request = HttpRequest(
             method="POST",
             target=PATHS[self._call.kind],
@@ -78,7 +78,7 @@
         return self.exchange
 
     async def next_part(self) -> ResponseChunk | None:
-        """Return the next whole events, resuming as needed; ``None`` at the proper end."""
+        """Return the next complete events, resuming as needed; ``None`` at the stream's end."""
         while True:
             assert self.exchange is not None
             try:
@@ -93,7 +93,7 @@
                 return None
 
     def start_read_timeout(self) -> None:
-        """Start the limit for the next token."""
+        """Start the timeout for the next token."""
         if self.exchange is not None:
             self.exchange.start_read_timeout()
 
@@ -114,10 +114,10 @@
         return ResponseChunk(batch.data, batch.events)
 
     async def _resume(self, exc: ExchangeError) -> None:
-        """Go on at the same engine over a new connection, from the next token.
+        """Resume at the same engine over a new connection, from the next token.
 
-        The old connection is never asked again: once it has fallen silent it may stay so for
-        good, while new ones work.
+        The old connection is not used again: once silent, it may stay so for good while new
+        ones work.
         """
         response_started = self.reader.position > 0
         error = lost_response_error(
@@ -161,9 +161,9 @@
     retries: Counter,
     cancel: Callable[[BackendServer, str], None],
 ) -> AsyncGenerator[ResponsePart, None]:
-    """Run a call at an engine and yield its answer.
+    """Run a call at an engine and yield its response.
 
-    :param cancel: told the stream's id when the answer is not read to its end.
+    :param cancel: called with the stream's id if the response is not read to its end.
     """
     engine_call = EngineCall(client, call, backend, retries)
     response_complete = False
@@ -173,7 +173,7 @@
         is_event_stream = exchange.header(b"content-type").startswith(EVENT_STREAM)
         if is_event_stream and exchange.status == OK:
             first = await engine_call.next_part()
-            # The head waits for the first token: until then another engine may still serve.
+            # The head is held until the first token: until then another engine may serve the call.
             yield ResponseHead(exchange.status, returned_headers(exchange.headers))
             part = first
             while part is not None:
@@ -206,14 +206,14 @@
     try:
         await engine_call.exchange.next_chunk()
     except ExchangeError:
-        # The answer is whole by its own end mark; only the connection is lost.
+        # The response is complete by its end mark; only the connection is lost.
         return
 
 
 async def read_body(
     engine_call: EngineCall, exchange: Exchange, call: Call, backend: BackendServer
 ) -> bytes:
-    """Read an answer that is not streamed."""
+    """Read a response that is not streamed."""
     exchange.start_read_timeout()
     try:
         return await exchange.read(MAX_BODY_BYTES)
@@ -222,7 +222,7 @@
 
 
 def check_status(exchange: Exchange, call: Call, backend: BackendServer) -> None:
-    """Raise for answers that mean the engine did not serve; others are the caller's."""
+    """Raise if the engine did not serve the call; other responses go to the caller."""
     if exchange.status == NOT_FOUND:
         raise GatewayError(ErrorKind.BACKEND_REFUSED, f"{backend.name} lacks {call.served}")
     if exchange.status >= FIRST_SERVER_ERROR:
@@ -232,7 +232,7 @@
 
 
 def response_usage(body: bytes, call: Call, backend: BackendServer) -> Any:
-    """Return the usage of a whole answer, or raise when the answer is malformed."""
+    """Return the usage in a response that is not streamed, or raise if it is malformed."""
     try:
         return usage_of(body)
     except ValueError as exc:
--- a/src/hickorybeam/backends/exchange.py
+++ b/src/hickorybeam/backends/exchange.py
@@ -1,4 +1,4 @@
-"""One request and its answer on one connection, with a limit on every silence."""
+"""One request and its response on one connection, with a timeout for every read."""
 
 from __future__ import annotations
 
@@ -24,9 +24,9 @@
 
 
 class ExchangeError(Exception):
-    """The answer did not come, or not whole, after bytes of the request may have been sent.
+    """The response is missing or incomplete, and bytes of the request may have been sent.
 
-    :param silent: the connection fell silent; otherwise it broke.
+    :param timed_out: the connection fell silent; otherwise it broke.
     """
 
     def __init__(self, *, timed_out: bool) -> None:
@@ -35,10 +35,10 @@
 
 
 class Exchange:
-    """Sends a request and reads the answer; whoever opens it must ``close`` it.
+    """Sends a request and reads the response; whoever opens it must ``close`` it.
 
-    The connection goes back to the pool only when the answer was read to its end. A late or
-    cancelled one is closed with it, so no other request can ever receive its answer.
+    The connection returns to the pool only if the response was read to its end. With a late or
+    cancelled response it is closed, so that no other request can receive that response.
     """
 
     def __init__(
@@ -70,8 +70,8 @@
     ) -> None:
         """Send the request and read status and headers.
 
-        :raises ExchangeError: the answer did not come.
-        :raises GatewayError: ``BAD_REQUEST`` when the request cannot be written as HTTP.
+        :raises ExchangeError: the response did not arrive.
+        :raises GatewayError: ``BAD_REQUEST`` if the request cannot be written as HTTP.
         """
         if body or method in ("POST", "PUT", "PATCH"):
             headers = [*headers, (b"content-length", b"%d" % len(body))]
@@ -86,18 +86,18 @@
         self.headers = self._conn.http.headers
 
     def header(self, name: bytes) -> str:
-        """Return a header of the answer, empty if it has none."""
+        """Return a header of the response, empty if it is missing."""
         for key, value in self.headers:
             if key.lower() == name:
                 return value.decode("latin-1")
         return ""
 
     async def next_chunk(self) -> bytes:
-        """Return the next bytes of the body, empty at its proper end.
+        """Return the next bytes of the body, empty at its end.
 
-        The time between two calls does not count as silence of the backend server.
+        The time between two calls of this method does not count towards the read timeout.
 
-        :raises ExchangeError: the body ended early or fell silent.
+        :raises ExchangeError: the body ended early or timed out.
         """
         try:
             return await self._conn.http.next_chunk()
@@ -107,11 +107,11 @@
             self._watchdog.pause(self._deadline)
 
     def start_read_timeout(self) -> None:
-        """Start the limit for the next bytes of the body."""
+        """Start the timeout for the next bytes of the body."""
         self._watchdog.extend(self._deadline, self._read_timeout_ms)
 
     async def read(self, max_bytes: int) -> bytes:
-        """Read the whole body, up to a limit in bytes."""
+        """Read the whole body, or raise if it is longer than ``max_bytes``."""
         parts = []
         size = 0
         while chunk := await self.next_chunk():
@@ -123,7 +123,7 @@
         return b"".join(parts)
 
     async def close(self) -> None:
-        """End the exchange; the connection is reused only after a whole answer."""
+        """End the exchange; the connection is reused only after a complete response."""
         self._watchdog.remove(self._deadline)
         if self._conn.http.reusable:
             self._pool.release(self._conn)
@@ -134,6 +134,6 @@
                 await self._pool.close_idle(self._backend)
 
     def _shut_down_socket(self) -> None:
-        # The read that waits returns at once, as if the other end had closed.
+        # A pending read returns at once, as if the other end had closed.
         with contextlib.suppress(OSError):
             self._conn.socket.shutdown(socket.SHUT_RDWR)
--- a/src/hickorybeam/backends/headers.py
+++ b/src/hickorybeam/backends/headers.py
@@ -1,4 +1,4 @@
-"""Which headers go on to a backend server and which come back (RFC 9110, section 7.6)."""
+"""Headers forwarded to a backend server and returned to the caller (RFC 9110, section 7.6)."""
 
 from __future__ import annotations
 
@@ -27,17 +27,17 @@
         "upgrade",
     )
 )
-# What proves who the caller is stops at the entry VM, or a backend server could act as the
-# caller towards us or others.
+# The caller's credentials stop at the entry VM: with them, a backend server could act as the caller
+# towards the gateway or others.
 CREDENTIALS = frozenset(
     ("authorization", "x-api-key", "api-key", "cookie", "idempotency-key", "x-auth-token")
 )
-# Headers by which the gateway itself speaks to backend servers; a caller must not set them.
+# Headers of the gateway's own protocol with backend servers; a caller must not set them.
 GATEWAY_HEADERS = frozenset(
     ("x-request-id", "x-account", "x-priority", "x-deadline-ms", "x-prefix", "x-ran", "x-stream-id")
 )
 GATEWAY_HEADER_PREFIX = "x-hickorybeam-"
-# Set anew for each connection, since the body is sent whole and to another host.
+# Set anew for each connection, since the body is sent in one piece and to another host.
 PER_CONNECTION = frozenset(("host", "content-length", "expect", "via", "max-forwards"))
 
 NOT_FORWARDED = HOP_BY_HOP | CREDENTIALS | GATEWAY_HEADERS | PER_CONNECTION
@@ -47,7 +47,7 @@
 
 
 def forwarded_headers(headers: Iterable[Header]) -> tuple[Header, ...]:
-    """Return the caller's headers that a backend server may see."""
+    """Return the caller's headers that are forwarded to a backend server."""
     headers = tuple(headers)
     connection_scoped = connection_options(headers)
     return tuple(
@@ -60,7 +60,7 @@
 
 
 def returned_headers(raw: Iterable[tuple[bytes, bytes]]) -> tuple[Header, ...]:
-    """Return a backend server's headers that the caller may see."""
+    """Return a backend server's headers that are returned to the caller."""
     headers = [(name.decode("latin-1").lower(), value.decode("latin-1")) for name, value in raw]
     connection_scoped = connection_options(headers)
     return tuple(
@@ -73,7 +73,7 @@
 
 
 def connection_options(headers: Iterable[Header]) -> frozenset[str]:
-    """Return the names that a ``Connection`` header declares to be for this hop only."""
+    """Return the header names that a ``Connection`` header declares as hop-by-hop."""
     return frozenset(
         option.strip().lower()
         for name, value in headers
@@ -100,7 +100,7 @@
 
 
 def common_headers(call: Call, host: bytes, caller_headers: tuple[Header, ...]) -> RawHeaders:
-    """Return what every backend server is told."""
+    """Return the headers that every backend server gets."""
     raw = [(b"host", host)]
     raw.extend((name.encode("latin-1"), value.encode("latin-1")) for name, value in caller_headers)
     raw.append((b"x-request-id", call.request_id.encode()))
--- a/src/hickorybeam/backends/http1.py
+++ b/src/hickorybeam/backends/http1.py
@@ -1,8 +1,7 @@
-"""HTTP/1.1 towards one backend server: httpcore's sockets and the parser of uvicorn.
+"""HTTP/1.1 connection to one backend server: httpcore's sockets with the parser of httptools.
 
-httpcore's own connection was used first. Its parser is written in Python and took over a
-third of the relay's processor time (docs/design/relay.md), so the framing is left to
-httptools, which uvicorn uses on the other side.
+httpcore's own parser is written in Python and took over a third of the relay's processor time
+(docs/design/relay.md). httptools is what uvicorn uses on the caller's side.
 """
 
 from __future__ import annotations
@@ -34,14 +33,14 @@
 
 
 class BrokenResponseError(Exception):
-    """The answer is not HTTP, or ended before its proper end."""
+    """The response is not HTTP, or ended early."""
 
 
 class HttpConnection:
-    """One connection; one request at a time.
+    """One connection, which carries one request at a time.
 
-    ``reusable`` holds after an answer was read to an end that the other side marked, and only
-    if it sent not a byte more: such bytes would be taken for the next answer.
+    ``reusable`` is true after a response was read to an end that the other side marked, and
+    only if no byte followed: such bytes would be taken for the next response.
     """
 
     def __init__(self, stream: httpcore.AsyncNetworkStream) -> None:
@@ -61,14 +60,14 @@
         self._head_bytes = 0
 
     async def send(self, method: str, target: bytes, headers: RawHeaders, body: bytes) -> None:
-        """Send a request and read the head of its answer.
+        """Send a request and read the head of its response.
 
         :raises InvalidRequestError: nothing was sent.
-        :raises BrokenResponseError: the answer's head did not come.
+        :raises BrokenResponseError: the head is missing or malformed.
         """
         data = encode_request(method, target, headers, body)
         self._reset(method)
-        # A server may answer and close before it has read the whole request; then the answer
+        # A server may respond and close before it has read the whole request; then the response
         # counts and not the failed write.
         with contextlib.suppress(httpcore.WriteError):
             await self._stream.write(data)
@@ -76,7 +75,7 @@
             await self._read()
 
     async def next_chunk(self) -> bytes:
-        """Return all body bytes that have arrived, empty at the proper end."""
+        """Return all body bytes that have arrived, empty at the end of the body."""
         while not self._chunks and not self._complete:
             await self._read()
         if not self._chunks:
@@ -87,7 +86,7 @@
         return data
 
     def is_stale(self) -> bool:
-        """Whether the other end has closed, or sent bytes that nobody asked for."""
+        """Whether the other end has closed the connection or sent unexpected bytes."""
         return bool(self._stream.get_extra_info("is_readable"))
 
     async def aclose(self) -> None:
@@ -119,21 +118,21 @@
             raise BrokenResponseError from exc
 
     def on_message_begin(self) -> None:
-        """Start the head of an answer."""
+        """Start the head of a response."""
         if self._message_ended:
             self._excess_bytes = True
         self.headers = []
         self._head_bytes = 0
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take one header."""
+        """Store one header."""
         self._head_bytes += len(name) + len(value)
         if self._head_bytes > MAX_HEAD_BYTES:
             raise BrokenResponseError
         self.headers.append((name, value))
 
     def on_headers_complete(self) -> None:
-        """Take the head, unless it is an interim one (1xx), which is not passed on."""
+        """Process a head, except an interim one (1xx), which is not passed on."""
         if self._message_ended:
             return
         self.status = self._parser.get_status_code()
@@ -149,18 +148,18 @@
         self._ends_at_close = not is_framed(self.headers)
 
     def on_body(self, data: bytes) -> None:
-        """Take body bytes."""
+        """Store body bytes."""
         if not self._message_ended:
             self._chunks.append(data)
 
     def on_message_complete(self) -> None:
-        """Take the proper end."""
+        """Mark a framed response as complete."""
         if self._head_received and not self._ends_at_close:
             self._message_ended = self._complete = True
 
 
 def is_framed(headers: RawHeaders) -> bool:
-    """Whether an answer marks its own end; otherwise it ends with its connection."""
+    """Whether a response marks its own end; otherwise it ends with its connection."""
     names = {name.lower(): value.lower() for name, value in headers}
     if b"transfer-encoding" in names:
         return names[b"transfer-encoding"].endswith(b"chunked")
@@ -168,9 +167,9 @@
 
 
 def encode_request(method: str, target: bytes, headers: RawHeaders, body: bytes) -> bytes:
-    """Return a request as it goes over the wire.
+    """Return the bytes of a request.
 
-    :raises InvalidRequestError: a name, value or the target could be read as something else.
+    :raises InvalidRequestError: a name, value or the target could be parsed as something else.
     """
     if not REQUEST_TARGET.fullmatch(target):
         raise InvalidRequestError
--- a/src/hickorybeam/backends/http_client.py
+++ b/src/hickorybeam/backends/http_client.py
@@ -1,4 +1,4 @@
-"""What every call to a backend server shares: open, send, map each fault to its error kind."""
+"""Sends requests to backend servers and maps each failure to its error kind."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class HttpRequest:
-    """One HTTP request as it goes to a backend server."""
+    """One HTTP request to a backend server."""
 
     method: str
     target: bytes
@@ -49,11 +49,11 @@
         first_byte_timeout_ms: int,
         fresh: bool = False,
     ) -> Exchange:
-        """Send a request and read the head of its answer.
+        """Send a request and read the head of its response.
 
-        :raises GatewayError: ``BACKEND_REFUSED`` when nothing was sent or the backend server
-            says that it ran nothing.
-        :raises ExchangeError: any other fault; the request may have run.
+        :raises GatewayError: ``BACKEND_REFUSED`` if nothing was sent or the backend server
+            reports that it ran nothing; another kind if the response is for another request.
+        :raises ExchangeError: any other failure; the request may have run.
         """
         conn = await self.pool.acquire(backend, fresh=fresh or not call.idempotent)
         exchange = Exchange(
@@ -76,9 +76,9 @@
 
 
 def check_request_id(exchange: Exchange, call: Call, backend: BackendServer) -> None:
-    """Refuse an answer that names another request.
+    """Raise if the response is for another request.
 
-    A backend server whose answers are crossed would show one caller another's content; the
+    A backend server that mixes up its responses would show one caller another's content; the
     echoed request id is the only sign of it.
     """
     echoed_id = exchange.header(b"x-request-id")
@@ -89,7 +89,7 @@
 
 
 def check_refusal(exchange: Exchange, backend: BackendServer) -> None:
-    """Raise ``BACKEND_REFUSED`` when the backend server says that it ran nothing."""
+    """Raise ``BACKEND_REFUSED`` if the backend server reports that it ran nothing."""
     if (
         exchange.status in (SERVICE_UNAVAILABLE, TOO_MANY_REQUESTS)
         and exchange.header(b"x-ran") == RAN_NO
@@ -100,9 +100,9 @@
 def lost_response_error(
     call: Call, backend: BackendServer, exc: ExchangeError, *, response_started: bool
 ) -> GatewayError:
-    """Return the error for an answer that did not come whole.
+    """Return the error for a missing or incomplete response.
 
-    :param begun: whether the caller already has a part of the answer.
+    :param response_started: whether the caller already has a part of the response.
     """
     if exc.timed_out:
         kind = ErrorKind.BACKEND_SILENT
@@ -116,8 +116,8 @@
 ) -> GatewayError:
     """Return an error of a call that may have run.
 
-    A call that may not be repeated becomes ``BACKEND_UNKNOWN``, whose answer tells the caller
-    not to repeat it.
+    For a call that isn't idempotent it is ``BACKEND_UNKNOWN``, whose response tells the caller
+    not to retry.
     """
     if not call.idempotent:
         kind = ErrorKind.BACKEND_UNKNOWN
--- a/src/hickorybeam/backends/network.py
+++ b/src/hickorybeam/backends/network.py
@@ -1,4 +1,4 @@
-"""Sockets to backend servers as httpcore's network stream, without a timer for each read."""
+"""Sockets to backend servers as httpcore network streams, without a timer for each read."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 
 
 class UntimedStream(httpcore.AsyncNetworkStream):
-    """A TCP connection whose reads and writes have no time limit of their own.
+    """A TCP connection whose reads and writes have no timeout of their own.
 
-    httpcore's stream sets up a cancel scope and an exception table for each read, also when
-    there is no limit; that was a quarter of the relay's time for a token. The watchdog ends a
-    silent read by shutting the socket down.
+    httpcore's stream sets up a cancel scope and an exception table for each read, even without
+    a timeout; that was a quarter of the relay's time for a token. Instead, the watchdog ends a
+    read that times out by shutting the socket down.
     """
 
     def __init__(self, stream: SocketStream) -> None:
@@ -33,7 +33,7 @@
         self.socket: socket.socket = stream.extra(SocketAttribute.raw_socket)
 
     async def read(self, max_bytes: int, timeout: float | None = None) -> bytes:
-        """Return what has arrived, empty when the other end has closed."""
+        """Return the bytes that have arrived, empty if the other end has closed."""
         try:
             return await self._stream.receive(max_bytes)
         except anyio.EndOfStream:
@@ -58,11 +58,11 @@
         server_hostname: str | None = None,
         timeout: float | None = None,
     ) -> httpcore.AsyncNetworkStream:
-        """Refuse: backend servers are reached inside a data centre, in plain HTTP."""
+        """Raise: backend servers are reached inside a data centre, in plain HTTP."""
         raise NotImplementedError
 
     def get_extra_info(self, info: str) -> Any:
-        """Tell whether bytes, or the other end's close, wait to be read."""
+        """Return whether bytes, or the other end's close, can be read."""
         if info == "is_readable":
             poll = select.poll()
             poll.register(self.socket.fileno(), select.POLLIN)
--- a/src/hickorybeam/backends/plain.py
+++ b/src/hickorybeam/backends/plain.py
@@ -1,4 +1,4 @@
-"""Calls to plain services: any method, the answer streamed through as it comes."""
+"""Calls to plain services: any method, the response relayed as it arrives."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
 async def run_plain(
     client: HttpClient, call: Call, backend: BackendServer, *, timeout_ms: int
 ) -> AsyncGenerator[ResponsePart, None]:
-    """Run a call at a plain service and yield its answer.
+    """Run a call at a plain service and yield its response.
 
-    :param timeout_ms: limit on the time to the head of the answer.
+    :param timeout_ms: limit on the time to the head of the response.
     """
     host = f"{backend.host}:{backend.port}".encode()
     request = HttpRequest(
@@ -49,5 +49,5 @@
 
 
 def request_target(path: str) -> bytes:
-    """Return the request target; the path and query go on as the caller wrote them."""
+    """Return the request target; path and query are forwarded as the caller wrote them."""
     return path.encode("ascii") if path.startswith("/") else b"/" + path.encode("ascii")
--- a/src/hickorybeam/backends/pool.py
+++ b/src/hickorybeam/backends/pool.py
@@ -1,4 +1,4 @@
-"""Connections to backend servers: one request at a time on each, reused while young."""
+"""Pool of connections to backend servers, reused while their idle time is short."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True, eq=False)
 class Connection:
-    """One open connection and whom it leads to."""
+    """One open connection and the address that it is connected to."""
 
     address: Address
     http: HttpConnection
@@ -38,17 +38,17 @@
     reused: bool = field(default=False)
 
     async def close(self) -> None:
-        """Close it, also when the task is being cancelled."""
+        """Close the connection, even while the task is being cancelled."""
         with anyio.CancelScope(shield=True):
             await self.http.aclose()
 
 
 class ConnectionPool:
-    """Idle connections by address, the youngest reused first.
+    """Idle connections by address; the most recently used is reused first.
 
-    A connection that idles longer than ``idle_ms`` is closed and never reused: something
-    between the two ends may have forgotten it, and a request sent on it would wait for its
-    whole limit. Younger ones are checked for a close from the other end.
+    A connection idle for longer than ``max_idle_ms`` is closed and never reused: a device on
+    the way may have dropped it, and a request sent on it would wait for its whole timeout.
+    Others are checked for a close by the other end.
     """
 
     def __init__(self, clock: Clock, *, connect_timeout_ms: int, max_idle_ms: int) -> None:
@@ -59,16 +59,16 @@
         self.opened = 0
 
     def idle_count(self, backend: BackendServer) -> int:
-        """Return how many connections to a backend server are idle."""
+        """Return the number of idle connections to a backend server."""
         return len(self._idle.get((backend.host, backend.port), ()))
 
     async def acquire(self, backend: BackendServer, *, fresh: bool) -> Connection:
-        """Return a connection that nobody else uses.
+        """Return a connection for exclusive use.
 
-        :param fresh: never reuse; for calls that may not be repeated, since the other end may
+        :param fresh: open a new one. For calls that aren't idempotent, since the other end may
             close an idle connection just as the call is sent, and whether it ran would then
-            be unknown; and after silence, since the idle ones may be as lost.
-        :raises GatewayError: ``BACKEND_REFUSED`` when it cannot be opened.
+            be unknown; and after a timeout, since the idle ones may be dead as well.
+        :raises GatewayError: ``BACKEND_REFUSED`` if it cannot be opened.
         """
         address = (backend.host, backend.port)
         if not fresh:
@@ -78,19 +78,19 @@
         return await self._open(address, backend.name)
 
     def release(self, conn: Connection) -> None:
-        """Keep a connection whose answer was read to its end."""
+        """Keep a connection whose response was read to its end."""
         idle = self._idle.setdefault(conn.address, deque(maxlen=MAX_IDLE_PER_SERVER))
         conn.idle_since_ms = self._clock.now()
         conn.reused = True
         idle.append(conn)
 
     async def close_idle(self, backend: BackendServer) -> None:
-        """Close every idle connection to a backend server that fell silent on one."""
+        """Close all idle connections to a backend server that timed out on another one."""
         for conn in self._idle.pop((backend.host, backend.port), ()):
             await conn.close()
 
     async def run(self) -> None:
-        """Close connections that idled for too long, until cancelled; then close all."""
+        """Close connections that are idle for too long, until cancelled; then close all."""
         try:
             while True:
                 await self._clock.sleep(REAP_INTERVAL_MS)
--- a/src/hickorybeam/backends/reports.py
+++ b/src/hickorybeam/backends/reports.py
@@ -23,11 +23,11 @@
 
 __all__ = ("ReportPoller",)
 
-# Bounds what polling costs: beyond this the pause for each engine grows with their number.
+# Limits the cost of polling: beyond it, each engine's interval grows with their number.
 MAX_POLLS_PER_S = 20
 POLL_TIMEOUT_MS = 1_000
 MS_PER_SECOND = 1000
-# A report older than this many pauses says nothing of the load now.
+# A report older than this many poll intervals says nothing of the current load.
 MAX_REPORT_AGE_INTERVALS = 6
 MAX_REPORT_BYTES = 100_000
 OK = 200
@@ -43,7 +43,7 @@
 
 
 class ReportPoller:
-    """Holds the last report of each engine and a task that polls it."""
+    """Polls each engine in a task of its own and holds its latest report."""
 
     def __init__(
         self,
@@ -63,7 +63,7 @@
         self._poll_scopes: dict[BackendServer, anyio.CancelScope] = {}
 
     def report(self, backend: str) -> LoadReport | None:
-        """Return the last report, ``None`` when there is none or it is stale."""
+        """Return the latest report, ``None`` if there is none or it is stale."""
         found = self._reports.get(backend)
         if (
             found is None
@@ -89,7 +89,7 @@
             tg.start_soon(self._poll_until_cancelled, backend, scope)
 
     def reset(self) -> None:
-        """Start anew; the tasks that polled have ended."""
+        """Discard the polling tasks, which have ended."""
         self._poll_scopes.clear()
 
     def _poll_interval_ms(self) -> int:
@@ -97,7 +97,7 @@
 
     async def _poll_until_cancelled(self, backend: BackendServer, scope: anyio.CancelScope) -> None:
         with scope:
-            # Spread by name, so that many engines are not asked in one burst.
+            # Spread by name, so that many engines are not polled in one burst.
             offset = zlib.crc32(backend.name.encode()) % self._min_interval_ms
             await self._poll(backend)
             await self._clock.sleep(offset)
--- a/src/hickorybeam/backends/service.py
+++ b/src/hickorybeam/backends/service.py
@@ -1,4 +1,4 @@
-"""The service ``backends``: everything that is sent to backend servers."""
+"""The service ``backends``: all requests to backend servers."""
 
 from __future__ import annotations
 
@@ -29,12 +29,12 @@
 __all__ = ("BackendsService",)
 
 CANCEL_TASKS = 8
-# Silence is noticed up to one tick late; a tenth of the shortest usual limit.
+# A timeout is noticed up to one tick late; a tenth of the shortest usual timeout.
 WATCHDOG_TICK_MS = 50
 
 
 class BackendsService(Service):
-    """Speaks to backend servers for the other services."""
+    """Sends requests to backend servers for the other services."""
 
     name: ClassVar[str] = BACKENDS
     needs: ClassVar[tuple[str, ...]] = (CONFIG,)
@@ -47,8 +47,8 @@
         self.pool = ConnectionPool(
             clock, connect_timeout_ms=limits.connect_timeout_ms, max_idle_ms=limits.idle_ms
         )
-        # Reports and cancels have connections of their own: sharing them would leave it to
-        # chance which calls find a warm one.
+        # Load reports and cancels have connections of their own: with shared ones, it would be
+        # up to chance which calls find an open one.
         self._control_pool = ConnectionPool(
             clock, connect_timeout_ms=limits.connect_timeout_ms, max_idle_ms=limits.idle_ms
         )
@@ -66,18 +66,18 @@
         )
 
     def bind(self, kernel: Kernel) -> None:
-        """Find the configuration in force."""
+        """Look up the configuration service."""
         self._config = kernel.find(CONFIG, ConfigView)  # type: ignore[type-abstract]
 
     async def main(self, started: Started) -> None:
-        """Poll load reports, send cancels and watch for silence until cancelled."""
+        """Poll load reports, send cancels and check timeouts until cancelled."""
         async with anyio.create_task_group() as tg:
             tg.start_soon(self._watchdog.run)
             tg.start_soon(self.pool.run)
             tg.start_soon(self._control_pool.run)
             for _ in range(CANCEL_TASKS):
                 tg.start_soon(self._canceller.run)
-            # After a crash the old tasks are gone with their group; polls would never resume.
+            # After a crash, the polling tasks have ended with their group and must start again.
             self._poller.reset()
             started()
             while True:
--- a/src/hickorybeam/backends/sse.py
+++ b/src/hickorybeam/backends/sse.py
@@ -1,4 +1,4 @@
-"""Server-sent events of a model's answer: whole events, their count, usage and the end."""
+"""Server-sent events of a model's response: complete events, their count, usage and the end."""
 
 from __future__ import annotations
 
@@ -30,20 +30,20 @@
 
 @dataclass(frozen=True, slots=True)
 class EventBatch:
-    """What one read brought: bytes to relay and how many events they hold."""
+    """Complete events: the bytes to relay and the number of events in them."""
 
     data: bytes
     events: int
 
 
 class SseReader:
-    """Cuts a byte stream at event borders.
+    """Splits a byte stream at event boundaries.
 
-    Only whole events go on, so that the position in the stream is always known and a resume
-    brings each token once. The bytes are relayed as they came; nothing is parsed for each
-    token, since parsing was most of the relay's cost.
+    Only complete events are passed on, so that the position in the stream is always known and
+    a resume delivers each token once. The bytes are relayed as they came; nothing is parsed
+    per token, since parsing was most of the relay's cost.
 
-    :param strip_usage: drop the usage event, which the gateway asks for and the caller did not.
+    :param strip_usage: drop the usage event, which the gateway requests and the caller did not.
     """
 
     def __init__(self, *, strip_usage: bool) -> None:
@@ -55,14 +55,14 @@
         self._resuming = False
 
     def resume(self) -> None:
-        """Forget a half-read event; the next events come from a new connection."""
+        """Discard a partial event; the next events come from a new connection."""
         self._buffer = b""
         self._resuming = True
 
     def feed(self, data: bytes) -> EventBatch | None:
-        """Take bytes and return the whole events within.
+        """Add bytes and return the events that they complete.
 
-        :return: ``None`` while no event is complete.
+        :return: ``None`` if no event is complete.
         :raises ValueError: an event is too long, or events are missing after a resume.
         """
         if b"\r" in data:
@@ -93,8 +93,8 @@
         return EventBatch(data, events)
 
     def _drop_duplicates(self, data: bytes) -> bytes:
-        # A resumed stream may start before the asked position; its event ids tell. Events
-        # that the caller already has are dropped, and a hole means tokens were lost.
+        # A resumed stream may start before the requested position, as its event ids show. Events
+        # that the caller already has are dropped, and a gap means that tokens were lost.
         kept = []
         expected = self.position
         for event in data.split(EVENT_END)[:-1]:
@@ -122,7 +122,7 @@
 
 
 def usage_of(frame: bytes) -> Usage | None:
-    """Return the usage that a JSON answer or event carries, if any.
+    """Return the usage in a JSON response or event, if any.
 
     :raises ValueError: the JSON is malformed.
     """
--- a/src/hickorybeam/dispatch/__init__.py
+++ b/src/hickorybeam/dispatch/__init__.py
@@ -1,4 +1,4 @@
-"""Carries out the decisions of policy/ for each call."""
+"""Executes the decisions of policy/ for each call."""
 
 from __future__ import annotations
 
--- a/src/hickorybeam/dispatch/attempts.py
+++ b/src/hickorybeam/dispatch/attempts.py
@@ -1,4 +1,4 @@
-"""The attempts of one call: on a backend server here, or in another region."""
+"""The attempts of one call: on a backend server of this region, or in another region."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 FIRST_SERVER_ERROR = 500
 REGION_HEADER = "x-hickorybeam-region"
 
-# What another VM may answer that leaves this region's own queue as the way out: it did not
+# Errors of another VM after which the call is offered to this region's own queue: that VM did not
 # run the call, and the reason is its own state, not the call.
 FALLBACK_KINDS = frozenset(
     {
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class AttemptServices:
-    """What the attempts of every call share."""
+    """The services and state that the attempts of all calls share."""
 
     clock: Clock
     config: ConfigView
@@ -80,11 +80,10 @@
 
 
 class Attempts:
-    """Carries out the decisions for one call until it is answered or refused for good.
+    """Executes the decisions for one call until it is answered or finally refused.
 
-    :param running: the call in flight.
     :param job: the call as the load policy sees it.
-    :param deadline: absolute, in ms of the clock.
+    :param deadline_ms: time on the monotonic clock.
     """
 
     def __init__(
@@ -100,7 +99,7 @@
         self._used_tokens = 0
 
     async def run(self, first: Decision) -> AsyncGenerator[ResponsePart, None]:
-        """Yield the answer's parts, starting from the first decision."""
+        """Yield the parts of the response, starting with the first decision."""
         decision = first
         while True:
             self._attempt_count += 1
@@ -131,7 +130,7 @@
             server = services.config.current().backends.get(name)
             if server is None:
                 raise GatewayError(ErrorKind.BACKEND_REFUSED, "a ticket removed it")
-            # What the queue took is gone: the engine plans with what is left.
+            # The engine schedules by the time that remains after queueing.
             call = replace(running.call, deadline_ms=self._remaining_ms())
             parts = services.backends.run(call, server)
             failed = first_token_reported = False
@@ -161,7 +160,7 @@
             running.call,
             deadline_ms=self._remaining_ms(),
             position=max(running.call.position, services.config.current().position),
-            # The receiver would take an idempotency key for one of its own issue.
+            # The receiver would treat the idempotency key as issued by itself.
             idempotency_key="",
         )
         parts: AsyncIterator[ResponsePart] | None = None
@@ -188,11 +187,11 @@
     async def _held_head_parts(
         self, parts: AsyncIterator[ResponsePart]
     ) -> AsyncGenerator[ResponsePart, None]:
-        """Yield the parts, the head together with the first part that follows it.
+        """Yield the parts, holding the head back until the first part after it.
 
-        An engine sends its head long before its first token. Held until then, a call whose
-        engine fails or is slow in between can still run elsewhere; the caller loses nothing,
-        since the head alone tells it nothing.
+        An engine sends its head long before its first token. While the head is held, a call
+        whose engine fails or is slow can still run elsewhere. The caller loses nothing, since
+        it can't use the head alone.
         """
         running, clock = self._running, self._services.clock
         running.sent = True
@@ -210,7 +209,7 @@
         yield part
 
     async def _decide_next(self, last: Decision, exc: GatewayError) -> Decision:
-        """Return what to do after a failed attempt, or raise its error."""
+        """Return the decision after a failed attempt, or raise its error."""
         match last:
             case Refuse():
                 raise exc
@@ -280,25 +279,25 @@
 
 
 def refusal_error(decision: Refuse) -> GatewayError:
-    """Return the error for a refusal of the load policy."""
+    """Return the error for a refusal by the load policy."""
     return GatewayError(
         decision.kind, decision.reason.value, retry_after_ms=decision.retry_after_ms
     )
 
 
 async def offer_job(scheduler: SchedulerTask, job: Job, running: RunningCall) -> Decision:
-    """Offer a job and wait for the decision."""
+    """Offer a job to the scheduler and wait for its decision."""
     reply: Reply[Decision] = Reply()
     scheduler.mailbox.post(Offer(job, reply, running.recall))
     return await reply.wait()
 
 
 async def close_parts(parts: AsyncIterator[ResponsePart]) -> None:
-    """Close an answer, which cancels it at the engine if it still runs there.
+    """Close a response, which cancels it at the engine if it still runs there.
 
-    Shielded, since it mostly happens while the caller's task is being cancelled: unshielded,
-    the engine would never hear of it and go on generating for nobody. Bounded, so that an
-    engine that hangs cannot keep the task.
+    Shielded, because this mostly happens while the caller's task is being cancelled: otherwise
+    the engine would not get the cancel and go on generating for nobody. Bounded, so that an
+    engine that hangs cannot block the task.
     """
     with anyio.move_on_after(CLOSE_TIMEOUT_S, shield=True):
         await cast("AsyncGenerator[ResponsePart, None]", parts).aclose()
--- a/src/hickorybeam/dispatch/checks.py
+++ b/src/hickorybeam/dispatch/checks.py
@@ -1,4 +1,4 @@
-"""What a call must pass at every VM that touches it, whoever checked it before."""
+"""Checks that each VM applies to a call, even if another VM has applied them before."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Permit:
-    """A call's account and the regions in which the call may run, by one state.
+    """A call's account and the regions that may run the call, by one configuration state.
 
-    ``regions`` are those that the account's residency rule and the placement both allow.
+    ``regions`` are allowed by the account's residency rule and serve the model or service.
     """
 
     account: ClientAccount
@@ -27,13 +27,13 @@
 
 
 def check_call(call: Call, state: ConfigState, *, region: str) -> Permit:
-    """Return what a call may do, or raise its refusal.
+    """Return the permit of a call, or raise the error that refuses it.
 
-    The entry VM has checked all this before it read the body. It is checked again here
-    because a ticket may have come into force since, and because a forwarded call was checked
-    by another VM, whose view may be older than this one's.
+    The entry VM made these checks before it read the body. They are repeated because a ticket
+    may have come into force since, and because a forwarded call was checked by another VM,
+    whose configuration may be older.
 
-    :param region: the region of this VM, which sees the call's data by running it.
+    :param region: the region of this VM, which processes the call's data by running it.
     """
     account = state.accounts.get(call.account)
     if account is None or state.is_withdrawn(call.key_digest):
@@ -51,7 +51,10 @@
 
 
 def termination_error(call: Call, state: ConfigState, *, regions: set[str]) -> GatewayError | None:
-    """Return why a call whose data is in these regions must end, if it must."""
+    """Return the error that ends a running call, ``None`` if it may go on.
+
+    :param regions: the regions that process the call's data.
+    """
     account = state.accounts.get(call.account)
     if account is None or state.is_withdrawn(call.key_digest):
         return GatewayError(ErrorKind.KEY_WITHDRAWN)
--- a/src/hickorybeam/dispatch/messages.py
+++ b/src/hickorybeam/dispatch/messages.py
@@ -1,4 +1,4 @@
-"""Messages to the task that owns the load policy's state."""
+"""Messages to the scheduler task, which owns the load policy's state."""
 
 from __future__ import annotations
 
@@ -25,9 +25,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Offer:
-    """A new job; the reply comes when it starts, is sent elsewhere or is refused.
+    """A new job; the reply comes when it starts, is spilled or is refused.
 
-    ``recall`` interrupts its run on a server that turns out to be slow.
+    ``recall`` cancels its run on a server that turns out to be slow.
     """
 
     job: Job
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Retry:
-    """A job to start again elsewhere; the reply is ``None`` when nothing else takes it."""
+    """A failed job to start elsewhere; the reply is ``None`` if nothing else accepts it."""
 
     job: Job
     tried: frozenset[str]
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FirstToken:
-    """A job's first token came."""
+    """The first token of a job's response arrived."""
 
     job: Job
     backend: str
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ForwardEnded:
-    """A forwarded call was answered by its region, or not."""
+    """A forwarded call ended; ``responded`` is false if its region could not handle it."""
 
     region: str
     responded: bool
@@ -72,14 +72,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CallEnded:
-    """A call is over, however it ended."""
+    """A call ended, for whatever reason."""
 
     job: Job
 
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """Time to look at configuration, reports and what waits."""
+    """Triggers the periodic check of configuration, load reports and queued jobs."""
 
 
 SchedulerMessage = Offer | Retry | FirstToken | RunEnded | ForwardEnded | CallEnded | Tick
--- a/src/hickorybeam/dispatch/metrics.py
+++ b/src/hickorybeam/dispatch/metrics.py
@@ -1,4 +1,4 @@
-"""What operators see of the load policy: counters, waits, gauges, and recent reasons."""
+"""Metrics of the load policy, and the latest reasons for its decisions."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 MS_PER_SECOND = 1000
 MAX_EXPLANATIONS_PER_ACCOUNT = 8
-# Sized for 850 accounts; above this the one unheard of for longest goes first.
+# For 850 accounts; beyond the limit, the least recently explained one is dropped.
 MAX_ACCOUNTS = 1_000
 
 
 class DispatchMetrics:
-    """The series of dispatch. Labels are closed lists, or names from the configuration."""
+    """Metrics of dispatch. Label values come from closed lists or the configuration."""
 
     def __init__(self, counters: Counters) -> None:
         self.refused = counters.counter(
@@ -77,7 +77,7 @@
             self._ejected.labels(name).set(ejected)
 
     def observe_wait(self, ms: int, *, long: bool, outcome: str) -> None:
-        """Count one decision and how long it took."""
+        """Record the time from a call's arrival to its decision."""
         length = "long" if long else "short"
         self.wait.labels(length, outcome).observe(ms / MS_PER_SECOND)
 
@@ -106,7 +106,7 @@
         self._by_account: OrderedDict[str, deque[Explanation]] = OrderedDict()
 
     def add(self, account: str, explanation: Explanation) -> None:
-        """Keep one explanation, dropping the oldest."""
+        """Add an explanation, dropping the oldest beyond the limits."""
         recent = self._by_account.get(account)
         if recent is None:
             recent = self._by_account[account] = deque(maxlen=MAX_EXPLANATIONS_PER_ACCOUNT)
@@ -116,7 +116,7 @@
             self._by_account.popitem(last=False)
 
     def as_dict(self) -> dict[str, list[dict[str, object]]]:
-        """Return everything kept, newest last, ready for JSON."""
+        """Return the explanations of each account, newest last, ready for JSON."""
         return {
             name: [asdict(explanation) for explanation in recent]
             for name, recent in self._by_account.items()
--- a/src/hickorybeam/dispatch/reservation.py
+++ b/src/hickorybeam/dispatch/reservation.py
@@ -1,4 +1,4 @@
-"""What one call takes from its account's budget and gives back."""
+"""The tokens that one call takes from its account's budget."""
 
 from __future__ import annotations
 
@@ -14,10 +14,11 @@
 
 
 class TokenReservation:
-    """The tokens of one call: taken once at the entry VM and settled whatever the ending.
+    """Reserves the tokens of one call and settles them, however the call ends.
 
-    A forwarded call (``hops`` above 0) was paid for at its entry VM and spends nothing here,
-    but for one that came to the issuer of its idempotency key: that is paid for where it runs.
+    A call is charged once, at its entry VM, so a forwarded one (``hops`` above 0) reserves
+    nothing here. Only a call forwarded to the issuer of its idempotency key is charged where
+    it runs.
     """
 
     def __init__(self, call: Call, budget: Budget) -> None:
@@ -30,14 +31,14 @@
         self._response_started = False
 
     async def reserve(self) -> None:
-        """Take the call's estimated cost, or raise ``RATE_LIMITED``."""
+        """Reserve the call's estimated cost, or raise ``RATE_LIMITED``."""
         if self._call.hops and not self._call.idempotency_key:
             return
         self._admission = await self._budget.take(self._call.account, self._call.cost)
         self._reserved = self._call.cost
 
     def record_part(self, part: ResponsePart) -> None:
-        """Note what a part of the answer says about tokens."""
+        """Update the token counts from a part of the response."""
         match part:
             case ResponseHead():
                 self._response_started = True
@@ -48,11 +49,11 @@
 
     @property
     def used_tokens(self) -> int:
-        """Tokens that the account received.
+        """Tokens to charge to the account.
 
-        An answer cut off before its end has no usage from the engine: what reached the caller
-        and the prompt that was read for it count, the output that never came does not. A
-        call with no answer at all costs nothing, so a refusal gives everything back.
+        For a response that was cut off, the engine reports no usage: the prompt, which was
+        prefilled, and the tokens that reached the caller are charged, the missing output is
+        not. A call without any response costs nothing, so a refusal refunds everything.
         """
         if self._reported_tokens is not None:
             return self._reported_tokens
@@ -61,7 +62,7 @@
         return min(self._call.cost, self._call.prompt_tokens + self._streamed_tokens)
 
     def settle(self) -> None:
-        """Give back what was not used; safe to call twice."""
+        """Refund the tokens that were not used; safe to call twice."""
         if self._reserved:
             self._budget.settle(
                 self._call.account, self._reserved, self.used_tokens, admission=self._admission
--- a/src/hickorybeam/dispatch/running.py
+++ b/src/hickorybeam/dispatch/running.py
@@ -1,4 +1,4 @@
-"""Calls in flight at this VM, and how a change ticket ends the ones it forbids."""
+"""Calls in flight at this VM, and their termination when a change ticket forbids them."""
 
 from __future__ import annotations
 
@@ -21,10 +21,9 @@
 
 
 class RunningCall:
-    """One call in flight; ``end`` interrupts whatever it waits for.
+    """One call in flight; ``terminate`` interrupts whatever it waits for.
 
-    :param call: the call.
-    :param region: where its data is processed now.
+    :param region: the region that processes its data now.
     """
 
     def __init__(self, call: Call, region: str) -> None:
@@ -42,16 +41,16 @@
         return self._error is not None
 
     def terminate(self, error: GatewayError) -> None:
-        """Make the current wait, or else the next one, raise this fault."""
+        """Raise this error from the current wait, or else from the next one."""
         if self._error is None:
             self._error = error
         if self._scope is not None:
             self._scope.cancel()
 
     def recall(self) -> None:
-        """Take the call back from a slow server, if it may run again elsewhere.
+        """Cancel the attempt at a slow server, if the call may run again elsewhere.
 
-        Ignored once anything reached the caller, and for a call that may run only once.
+        Ignored once any part has reached the caller, and for a call that isn't idempotent.
         """
         if self.response_started or not self.call.idempotent or self._scope is None:
             return
@@ -59,11 +58,11 @@
         self._scope.cancel()
 
     async def wait(self, step: Awaitable[T]) -> T:
-        """Await one step, or raise the fault that ended the call meanwhile.
+        """Await one step; raise the error if the call is terminated or recalled meanwhile.
 
-        The cancel scope lives within one step only. A scope that stayed open over a ``yield``
-        would belong to whichever task resumes the generator, and cancelling it could strike
-        a task that has nothing to do with this call.
+        The cancel scope spans one step only. If it stayed open across a ``yield``, it would
+        belong to whichever task resumes the generator, and cancelling it could interrupt a
+        task that is unrelated to this call.
         """
         with anyio.CancelScope() as scope:
             self._scope = scope
@@ -80,7 +79,7 @@
         raise GatewayError(ErrorKind.BACKEND_SILENT, "recalled from a slow server")
 
     async def next_part(self, parts: AsyncIterator[ResponsePart]) -> ResponsePart:
-        """Return the next part; an answer that stops without its end is an error."""
+        """Return the next part, or raise ``STREAM_BROKEN`` if the response ends early."""
         try:
             return await self.wait(parts.__anext__())
         except StopAsyncIteration:
@@ -89,7 +88,7 @@
     async def first_part(
         self, parts: AsyncIterator[ResponsePart], *, clock: Clock, deadline_ms: int
     ) -> ResponsePart:
-        """Return the first part, or raise ``DEADLINE`` if it does not come in time."""
+        """Return the first part, or raise ``DEADLINE`` if it does not arrive in time."""
         remaining_ms = deadline_ms - clock.now()
         with anyio.move_on_after(max(0, remaining_ms) / 1000):
             return await self.next_part(parts)
@@ -97,9 +96,9 @@
 
 
 class RunningCalls:
-    """Every call in flight at this VM.
+    """All calls in flight at this VM.
 
-    :param here: this VM's region, through which the data of every call passes.
+    :param own_region: this VM's region, through which the data of every call passes.
     """
 
     def __init__(self, own_region: str) -> None:
@@ -110,21 +109,21 @@
         return len(self._calls)
 
     def add(self, running: RunningCall) -> None:
-        """Register a call for its time in flight."""
+        """Add a call in flight."""
         self._calls.add(running)
 
     def remove(self, running: RunningCall) -> None:
-        """Forget a call that has ended."""
+        """Remove a call that has ended."""
         self._calls.discard(running)
 
     def terminate_forbidden(self, state: ConfigState) -> int:
-        """End every call that this state forbids.
+        """Terminate all calls that this state forbids.
 
-        A call that may not be repeated and may already have reached its backend server runs
-        out: ending it would leave its caller with an order of unknown outcome, which is worse
-        than one answer to a key withdrawn a moment ago.
+        A call that isn't idempotent and may have reached its backend server runs to its end:
+        terminating it would leave its caller with an operation of unknown outcome, which is
+        worse than one response to a key revoked a moment ago.
 
-        :return: how many calls were ended.
+        :return: the number of calls terminated.
         """
         terminated = 0
         for running in tuple(self._calls):
--- a/src/hickorybeam/dispatch/scheduler_task.py
+++ b/src/hickorybeam/dispatch/scheduler_task.py
@@ -1,4 +1,4 @@
-"""The task that owns the load policy's state and turns messages into decisions."""
+"""The task that owns the scheduler and turns messages into decisions."""
 
 from __future__ import annotations
 
@@ -33,16 +33,16 @@
 
 __all__ = ("TICK_INTERVAL_MS", "SchedulerTask")
 
-# Ten times a second: an ejection waits for up to a tick, and 100 ms is small against the
-# seconds that the policy's time constants span.
+# An ejection is delayed by up to one tick, which is small against the policy's time constants of
+# seconds.
 TICK_INTERVAL_MS = 100
-# With nothing waiting or running only reports and forecasts are to be taken over.
+# With nothing queued or running, only load reports and forecasts need updating.
 IDLE_TICK_INTERVAL_MS = 500
 PUBLISH_INTERVAL_MS = 500
 
 
 class SchedulerTask:
-    """Serialises everything that reads or changes the scheduler.
+    """Serialises all access to the scheduler.
 
     :param region: this VM's region.
     """
@@ -82,7 +82,7 @@
                 self._reply(decision)
 
     async def run_ticks(self) -> None:
-        """Post ticks, fewer while nothing waits or runs, until cancelled."""
+        """Post ticks until cancelled, fewer while nothing is queued or running."""
         while True:
             self.mailbox.post(Tick())
             if not self._recall_callbacks:
@@ -90,7 +90,7 @@
             await self._clock.sleep(TICK_INTERVAL_MS)
 
     async def _wait_for_work(self) -> None:
-        """Wait until there is work, or for as long as an idle VM goes without a tick."""
+        """Wait until a job is offered, or for as long as an idle VM needs no tick."""
         self._job_offered = anyio.Event()
         async with anyio.create_task_group() as tg:
             tg.start_soon(self._end_wait, tg.cancel_scope)
@@ -102,12 +102,12 @@
         scope.cancel()
 
     def refresh_if_stale(self) -> None:
-        """Hear the latest before the first call after a rest is judged.
+        """Update the scheduler before the first call after an idle period.
 
-        What is known then is up to ``IDLE_TICK_MS`` old: a call would be refused although
-        another region has told of room meanwhile. A configuration that came into force since
-        counts at once: within a tick after the ticket that brought a model's first engine, calls
-        would be refused as without any.
+        Its state may be ``IDLE_TICK_INTERVAL_MS`` old: the call would be refused although another
+        region has reported free capacity meanwhile. A new configuration is applied at once:
+        otherwise, within a tick after the ticket that adds a model's first engine, calls would be
+        refused as if there were none.
         """
         if self._applied is None or self._applied[0] != self._config.current().position:
             self.refresh_config()
@@ -116,7 +116,7 @@
             self._refresh_all(now)
 
     def refresh_config(self) -> None:
-        """Take over the configuration in force and the number of VMs that share it."""
+        """Apply the configuration in force and the number of VMs that share the servers."""
         state = self._config.current()
         vm_count = self._vm_count()
         if (state.position, vm_count) == self._applied:
@@ -160,12 +160,12 @@
         if reply is not None:
             reply.set(decision)
         elif isinstance(decision, Start):
-            # Its caller left in the same turn; the slot must not stay taken.
+            # Its caller left in the same turn; free the slot.
             now = self._clock.now()
             self._scheduler.run_ended(decision.job, decision.backend, now, Outcome.CANCELLED, 0)
 
     def _refresh_all(self, now: int) -> None:
-        """Hear what reports and other regions say."""
+        """Update configuration, load reports and the forecasts of other regions."""
         self._refreshed_ms = now
         self.refresh_config()
         for name in self._scheduler.backends.names():
--- a/src/hickorybeam/dispatch/service.py
+++ b/src/hickorybeam/dispatch/service.py
@@ -1,4 +1,4 @@
-"""The dispatch service: where and when each call runs, and what its caller gets."""
+"""The dispatch service: decides where and when each call runs, and returns its response."""
 
 from __future__ import annotations
 
@@ -52,8 +52,8 @@
 
 __all__ = ("DispatchService",)
 
-# A forwarded call names the log position its sender acted on; this is how long the receiver
-# tries to catch up before it refuses as not run: two heartbeats (500 ms each by default).
+# A forwarded call carries the log position of its sender's configuration. The receiver waits this
+# long to catch up before it refuses the call as not run: two heartbeats (500 ms each by default).
 MAX_CATCH_UP_MS = 1_000
 DRAIN_POLL_INTERVAL_MS = 50
 DECISION_MARGIN_MS = 500
@@ -85,7 +85,7 @@
         )
 
     def bind(self, kernel: Kernel) -> None:
-        """Look up neighbours."""
+        """Look up the services that this one uses."""
         self._config = kernel.find(CONFIG, ConfigView)  # type: ignore[type-abstract]
         self._budget = kernel.find(BUDGET, Budget)  # type: ignore[type-abstract]
         members = kernel.find(MEMBERS, Members)  # type: ignore[type-abstract]
@@ -114,7 +114,7 @@
         )
 
     async def main(self, started: Started) -> None:
-        """Run the load policy's task, and end calls that a ticket forbids."""
+        """Run the scheduler task, and terminate calls that a ticket forbids."""
         self._scheduler_task.refresh_config()
         async with anyio.create_task_group() as tg:
             tg.start_soon(self._scheduler_task.run)
@@ -123,13 +123,13 @@
             await self._watch_tickets()
 
     async def drain(self) -> None:
-        """Refuse new calls and let the ones in flight run out."""
+        """Refuse new calls and wait until those in flight have ended."""
         self._draining = True
         while len(self._running_calls):
             await self._clock.sleep(DRAIN_POLL_INTERVAL_MS)
 
     def status(self) -> dict[str, object]:
-        """Return queues, limits and the last reasons of each account, for operators."""
+        """Return queues, limits and each account's latest explanations, for operators."""
         table = self._scheduler.backends
         waiting = self._scheduler.waiting()
         return {
@@ -143,10 +143,10 @@
         }
 
     async def run(self, call: Call) -> AsyncIterator[ResponsePart]:
-        """Run a call and yield its answer's parts."""
+        """Run a call and yield the parts of its response."""
         arrived_ms = self._clock.now()
         if call.idempotency_key:
-            # It runs at most once; a second attempt after a byte was sent would break that.
+            # It must run at most once, so there may be no second attempt after a byte was sent.
             call = replace(call, idempotent=False)
         try:
             if self._draining:
@@ -165,10 +165,10 @@
             raise
 
     async def _run(self, call: Call, job: Job) -> AsyncGenerator[ResponsePart, None]:
-        """Run a call that passed the checks; settles and cleans up whatever the ending.
+        """Run a call that passed the checks; settle and clean up however it ends.
 
-        The queue is asked only after the account paid, so that a call waiting for a loan
-        holds no place; the early refusal before it keeps overload from reaching the budget.
+        The call is queued only after its tokens are reserved, so that it holds no queue entry
+        while it waits for a loan. The early refusal keeps overload from reaching the budget.
         """
         running = RunningCall(call, self._region)
         reservation = TokenReservation(call, self._budget)
@@ -191,10 +191,10 @@
             reservation.settle()
 
     async def _decide(self, running: RunningCall, job: Job) -> Decision:
-        """Wait for the load policy's decision, bounded a little past the call's deadline.
+        """Wait for the scheduler's decision until shortly after the call's deadline.
 
-        The policy answers every job in time unless its task crashed while it held the job.
-        The message is then lost; without this bound its caller would wait for ever.
+        The scheduler decides each job in time unless its task crashes while handling the job.
+        The message is then lost; without this limit the caller would wait for ever.
         """
         remaining_ms = max(0, job.deadline_ms - self._clock.now()) + DECISION_MARGIN_MS
         with anyio.move_on_after(remaining_ms / 1000):
@@ -233,7 +233,7 @@
             raise refusal_error(refused)
 
     def _record_decision(self, job: Job, decision: Decision) -> None:
-        """Count a decision and keep its reason for the operator."""
+        """Count a decision and keep its explanation for operators."""
         waited_ms = self._clock.now() - job.arrived_ms
         long = self._scheduler.is_long(job)
         match decision:
