--- a/src/hickorybeam/dispatch/attempts.py
+++ b/src/hickorybeam/dispatch/attempts.py
@@ -134,7 +134,7 @@
             call = replace(running.call, deadline_ms=self._remaining_ms())
             parts = services.backends.run(call, server)
             failed = first_token_reported = False
-            async for part in self._held_head_parts(parts):
+            async for part in self._hold_head(parts):
                 if isinstance(part, ResponseHead):
                     failed = part.status >= FIRST_SERVER_ERROR
                     yield replace(part, headers=(*part.headers, (REGION_HEADER, server.region)))
@@ -170,7 +170,7 @@
             if vm is None or services.peers is None:
                 raise GatewayError(ErrorKind.PEER_UNREACHABLE, ran=Ran.NO)
             parts = services.peers.forward(call, vm)
-            async for part in self._held_head_parts(parts):
+            async for part in self._hold_head(parts):
                 responded = True
                 yield part
         except GatewayError as exc:
@@ -184,7 +184,7 @@
     def _remaining_ms(self) -> int:
         return max(0, self._deadline_ms - self._services.clock.now())
 
-    async def _held_head_parts(
+    async def _hold_head(
         self, parts: AsyncIterator[ResponsePart]
     ) -> AsyncGenerator[ResponsePart, None]:
         """Yield the parts, holding the head back until the first part after it.
--- a/tests/steps/dispatch/dispatch_steps.py
+++ b/tests/steps/dispatch/dispatch_steps.py
@@ -8,7 +8,7 @@
 
 
 def in_loop(context, fn, *args):
-    """Run a step's part in the loop and let every task come to rest after it."""
+    """Run a step's function in the event loop, then wait until all tasks are blocked."""
 
     async def run():
         result = fn(*args)
@@ -32,14 +32,14 @@
     context.gw.backends.plans[name] = plan
 
 
-@when('a dispatch caller of account "{account}" asks')
-def step_ask(context, account):
-    send(context, fakes.call_of(account))
+@when('a dispatch caller of account "{account}" sends a call')
+def step_send(context, account):
+    send(context, fakes.make_call(account))
 
 
-@when("a dispatch caller asks for a call that may not be repeated")
-def step_ask_once(context):
-    send(context, fakes.call_of(idempotent=False))
+@when("a dispatch caller sends a call that is not idempotent")
+def step_send_once(context):
+    send(context, fakes.make_call(idempotent=False))
 
 
 def send(context, call):
@@ -50,8 +50,8 @@
     in_loop(context, start)
 
 
-@when("the dispatch caller vanishes")
-def step_vanish(context):
+@when("the dispatch caller disconnects")
+def step_disconnect(context):
     in_loop(context, lambda: context.caller.scope.cancel())
 
 
@@ -67,9 +67,9 @@
         gw.engines.append(fakes.engine("e1"))
     objects = fakes.base_objects(gw.engines)
     deleted = []
-    if change == "withdraws the key":
+    if change == "revokes the key":
         deleted = [obj for obj in objects if obj.name == "digest"]
-    elif change == "moves the account abroad":
+    elif change == "restricts the account to another region":
         objects = [
             replace(obj, residency="there-only") if obj.name == "family" else obj for obj in objects
         ]
@@ -82,24 +82,24 @@
 
 @then('the dispatch caller gets "{outcome}"')
 def step_outcome(context, outcome):
-    assert context.caller.outcome == outcome, (context.caller.outcome, context.caller.fault)
+    assert context.caller.outcome == outcome, (context.caller.outcome, context.caller.error)
 
 
 @then('its dispatch refusal says ran "{ran}"')
 def step_ran(context, ran):
-    assert context.caller.fault.ran.value == ran, context.caller.fault.ran
+    assert context.caller.error.ran.value == ran, context.caller.error.ran
 
 
 @then("{used:d} tokens were spent at dispatch")
 def step_spent(context, used):
-    assert fakes.BUDGET - context.gw.budget.left == used, context.gw.budget.left
+    assert fakes.INITIAL_BUDGET - context.gw.budget.remaining == used, context.gw.budget.remaining
 
 
 @then("no dispatch engine was called")
 def step_none_called(context):
-    assert context.gw.backends.ran == []
+    assert context.gw.backends.called == []
 
 
-@then('dispatch engine "{name}" was told to cancel')
+@then('dispatch engine "{name}" got a cancel')
 def step_cancelled(context, name):
     assert context.gw.backends.cancelled == [name], context.gw.backends.cancelled
--- a/tests/steps/dispatch/fakes.py
+++ b/tests/steps/dispatch/fakes.py
@@ -1,4 +1,4 @@
-"""Small fakes at the ports of dispatch: one class for each neighbour."""
+"""Small fakes of the services that dispatch uses: one class for each."""
 
 from __future__ import annotations
 
@@ -32,12 +32,12 @@
 from hickorybeam.settings import LoadSettings, PlatformSettings, Settings, VmSettings
 from hickorybeam.telemetry import Counters
 
-HERE = "dakar-plateau"
-THERE = "thies-nord"
-BUDGET = 10_000
+OWN_REGION = "dakar-plateau"
+OTHER_REGION = "thies-nord"
+INITIAL_BUDGET = 10_000
 
 
-def engine(name, *, region=HERE, **more):
+def engine(name, *, region=OWN_REGION, **more):
     return BackendServer(
         name=name,
         kind=BackendKind.ENGINE,
@@ -69,17 +69,17 @@
 
 def base_objects(engines):
     return [
-        Region(name=HERE, data_centres=(HERE,)),
-        Region(name=THERE, data_centres=(THERE,)),
-        ResidencyRule(name="here-only", regions=(HERE,)),
-        ResidencyRule(name="there-only", regions=(THERE,)),
+        Region(name=OWN_REGION, data_centres=(OWN_REGION,)),
+        Region(name=OTHER_REGION, data_centres=(OTHER_REGION,)),
+        ResidencyRule(name="here-only", regions=(OWN_REGION,)),
+        ResidencyRule(name="there-only", regions=(OTHER_REGION,)),
         ClientAccount(name="family", rate=100, burst=10_000),
         ClientAccount(name="bound", rate=100, burst=10_000, residency="here-only"),
         ClientAccount(name="abroad", rate=100, burst=10_000, residency="there-only"),
         ClientAccount(name="lost-rule", rate=100, burst=10_000, residency="nowhere"),
         ClientKey(name="digest", account="family"),
-        ModelService(name="guide", regions=(HERE, THERE)),
-        PlainService(name="orders", regions=(HERE,)),
+        ModelService(name="guide", regions=(OWN_REGION, OTHER_REGION)),
+        PlainService(name="orders", regions=(OWN_REGION,)),
         *engines,
     ]
 
@@ -124,7 +124,7 @@
 
     @property
     def me(self):
-        return vm_in(HERE, "vm-here")
+        return vm_in(OWN_REGION, "vm-here")
 
     def vms(self):
         return (self.me, *self.others)
@@ -155,25 +155,25 @@
     name = "budget"
 
     def __init__(self):
-        self.left = BUDGET
-        self.takes = 0
+        self.remaining = INITIAL_BUDGET
+        self.admissions = 0
 
     async def take(self, account, tokens):
-        self.takes += 1
-        if tokens > self.left:
+        self.admissions += 1
+        if tokens > self.remaining:
             raise GatewayError(ErrorKind.RATE_LIMITED, retry_after_ms=500)
-        self.left -= tokens
-        return self.takes
+        self.remaining -= tokens
+        return self.admissions
 
     def settle(self, account, taken, used, *, admission=0):
-        assert 0 < admission <= self.takes
-        self.left += taken - used
+        assert 0 < admission <= self.admissions
+        self.remaining += taken - used
 
 
 class FakeBackends(Service):
-    """Answers each call by the plan of its backend server.
+    """Responds to each call by the plan of its backend server.
 
-    A plan is one of ``ok``, ``hang`` (head, one chunk of 3 tokens, then silence), ``mute``
+    A plan is one of ``ok``, ``hang`` (head, one chunk of 3 tokens, then nothing), ``silent``
     (nothing at all), ``cut`` (stops without its end), ``refuse`` (ran: no) or ``fail``
     (ran: unknown).
     """
@@ -182,9 +182,9 @@
 
     def __init__(self):
         self.plans = {}
-        self.in_turn = iter(())
+        self.plans_in_order = iter(())
         self.reports = {}
-        self.ran = []
+        self.called = []
         self.deadlines = []
         self.cancelled = []
 
@@ -192,12 +192,12 @@
         return self.reports.get(backend)
 
     async def run(self, call, backend):
-        plan = next(self.in_turn, None) or self.plans.get(backend.name, "ok")
-        self.ran.append(backend.name)
+        plan = next(self.plans_in_order, None) or self.plans.get(backend.name, "ok")
+        self.called.append(backend.name)
         self.deadlines.append(call.deadline_ms)
         done = False
         try:
-            if plan == "mute":
+            if plan == "silent":
                 await anyio.sleep_forever()
             if plan == "refuse":
                 raise GatewayError(ErrorKind.BACKEND_REFUSED)
@@ -220,12 +220,12 @@
 
     def __init__(self):
         self.forwarded = []
-        self.fault = None
+        self.error = None
 
     async def forward(self, call, vm):
         self.forwarded.append((call, vm))
-        if self.fault is not None:
-            raise self.fault
+        if self.error is not None:
+            raise self.error
         yield ResponseHead(200)
         yield ResponseEnd(Usage(call.prompt_tokens, 5), "far", vm.region)
 
@@ -250,7 +250,7 @@
         self.counters = Counters()
         self.kernel = Kernel(self.clock)
         cfg = Settings(
-            vm=VmSettings(name="vm-here", region=HERE, data_centre=HERE),
+            vm=VmSettings(name="vm-here", region=OWN_REGION, data_centre=OWN_REGION),
             platform=PlatformSettings(urls=()),
             load=load or LoadSettings(),
         )
@@ -274,38 +274,38 @@
 
 
 class Caller:
-    """Sends one call in its own task and keeps what it received."""
+    """Sends one call in its own task and stores what it received."""
 
     def __init__(self, gateway, call):
         self.gateway = gateway
         self.call = call
         self.parts = []
-        self.fault = None
+        self.error = None
         self.done = False
         self.scope = anyio.CancelScope()
 
     async def run(self):
         with self.scope:
-            answer = self.gateway.dispatch.run(self.call)
+            response = self.gateway.dispatch.run(self.call)
             try:
-                async for part in answer:
+                async for part in response:
                     self.parts.append(part)
             except GatewayError as exc:
-                self.fault = exc
+                self.error = exc
             finally:
-                await answer.aclose()
+                await response.aclose()
             self.done = True
 
     @property
     def outcome(self):
-        if self.fault is not None:
-            return self.fault.kind.value
+        if self.error is not None:
+            return self.error.kind.value
         if self.parts and isinstance(self.parts[-1], ResponseEnd):
-            return "whole"
+            return "complete"
         return "cut" if self.done else "running"
 
 
-def call_of(account="family", **more):
+def make_call(account="family", **fields):
     values = {
         "request_id": "r1",
         "key_digest": "digest",
@@ -316,4 +316,4 @@
         "cost": 100,
         "deadline_ms": 5_000,
     }
-    return Call(account=account, **(values | more))
+    return Call(account=account, **(values | fields))
--- a/tests/steps/dispatch/load_steps.py
+++ b/tests/steps/dispatch/load_steps.py
@@ -26,8 +26,8 @@
 
 
 @given('every dispatch engine but the second one called will "{plan}"')
-def step_first_plan(context, plan):
-    context.gw.backends.in_turn = itertools.chain([plan], itertools.repeat("ok"))
+def step_other_plans(context, plan):
+    context.gw.backends.plans_in_order = itertools.chain([plan], itertools.repeat("ok"))
 
 
 @given('dispatch engine "{name}" leaves by "{way}"')
@@ -44,8 +44,8 @@
     in_loop(context, gw.config.set, state)
 
 
-@given('dispatch hears of free engines in "{region}"')
-def step_regions(context, region):
+@given('dispatch receives a forecast of free engines in "{region}"')
+def step_forecast(context, region):
     gw = context.gw
     load = RegionLoad(
         region=region, served="guide", wait_ms=0.0, free_tokens=10_000.0, at_ms=gw.clock.now()
@@ -57,47 +57,47 @@
 
 @given('the dispatch peer will refuse as "{kind}"')
 def step_peer_refuses(context, kind):
-    context.gw.peers.fault = GatewayError(ErrorKind(kind))
+    context.gw.peers.error = GatewayError(ErrorKind(kind))
 
 
-@when('a dispatch caller asks, "{repeat}" to be repeated')
-def step_repeat(context, repeat):
-    send(context, fakes.call_of(idempotent=repeat == "may be"))
+@when('a dispatch caller sends a call, idempotent: "{idempotent}"')
+def step_send_idempotent(context, idempotent):
+    send(context, fakes.make_call(idempotent=idempotent == "yes"))
 
 
-@when('a second dispatch caller of account "{account}" asks')
+@when('a second dispatch caller of account "{account}" sends a call')
 def step_second(context, account):
     first = context.caller
-    send(context, fakes.call_of(account, request_id="r2"))
+    send(context, fakes.make_call(account, request_id="r2"))
     context.second, context.caller = context.caller, first
 
 
-@when('a dispatch caller of account "{account}" with {hops:d} hops asks')
+@when('a dispatch caller of account "{account}" with {hops:d} hops sends a call')
 def step_hops(context, account, hops):
-    send(context, fakes.call_of(account, hops=hops))
+    send(context, fakes.make_call(account, hops=hops))
 
 
-@when("a dispatch caller with a body of {size:d} bytes asks")
+@when("a dispatch caller sends a call with a body of {size:d} bytes")
 def step_body(context, size):
-    send(context, fakes.call_of(body=bytes(size)))
+    send(context, fakes.make_call(body=bytes(size)))
 
 
-@when("{count:d} dispatch callers ask one after the other")
+@when("{count:d} dispatch callers send a call one after the other")
 def step_many(context, count):
     context.callers = []
     for _ in range(count):
-        send(context, fakes.call_of(cost=20))
+        send(context, fakes.make_call(cost=20))
         in_loop(context, context.gw.clock.advance, 40)
         context.callers.append(context.caller)
 
 
-@when("the first dispatch caller vanishes")
-def step_first_vanishes(context):
+@when("the first dispatch caller disconnects")
+def step_first_disconnects(context):
     in_loop(context, lambda: context.caller.scope.cancel())
 
 
-@when("the second dispatch caller vanishes")
-def step_second_vanishes(context):
+@when("the second dispatch caller disconnects")
+def step_second_disconnects(context):
     in_loop(context, lambda: context.second.scope.cancel())
 
 
@@ -109,27 +109,27 @@
     in_loop(context, start)
 
 
-@when("a dispatch caller reads one part and closes the answer")
+@when("a dispatch caller reads one part and closes the response")
 def step_one_part(context):
     async def read():
-        answer = context.gw.dispatch.run(fakes.call_of())
-        await answer.__anext__()
-        await answer.aclose()
+        response = context.gw.dispatch.run(fakes.make_call())
+        await response.__anext__()
+        await response.aclose()
 
     in_loop(context, read)
 
 
-@when("the dispatch load task crashes on a call with {ms:d} ms to live")
+@when("the dispatch scheduler task crashes on a call with a deadline of {ms:d} ms")
 def step_crash(context, ms):
     scheduler = context.gw.dispatch._scheduler
     offer = scheduler.offer
 
     def crash(job, now):
         scheduler.offer = offer
-        raise RuntimeError("crash wanted by the test")
+        raise RuntimeError("crash raised by the test")
 
     scheduler.offer = crash
-    send(context, fakes.call_of(deadline_ms=ms))
+    send(context, fakes.make_call(deadline_ms=ms))
     caller = context.caller
 
     async def until_done():
@@ -140,26 +140,26 @@
     context.call(until_done)
 
 
-@then("nothing waits at dispatch")
-def step_nothing_waits(context):
+@then("no call is queued at dispatch")
+def step_nothing_queued(context):
     waiting = context.gw.dispatch.status()["waiting"]
-    assert all(found["calls"] == 0 for found in waiting.values()), waiting
+    assert all(queue["calls"] == 0 for queue in waiting.values()), waiting
 
 
 @then("{count:d} dispatch engine calls were made")
 def step_calls(context, count):
-    assert len(context.gw.backends.ran) == count, context.gw.backends.ran
+    assert len(context.gw.backends.called) == count, context.gw.backends.called
 
 
-@then("the second dispatch engine call has {ms:d} ms less to live than the first")
-def step_left(context, ms):
+@then("the second dispatch engine call has a deadline {ms:d} ms shorter than the first")
+def step_shorter_deadline(context, ms):
     first, second = context.gw.backends.deadlines
     assert first - second == ms, (first, second)
 
 
 @then("at most {count:d} dispatch engine calls were made")
-def step_most_calls(context, count):
-    assert len(context.gw.backends.ran) <= count, len(context.gw.backends.ran)
+def step_max_calls(context, count):
+    assert len(context.gw.backends.called) <= count, len(context.gw.backends.called)
 
 
 @then("{count:d} dispatch calls were forwarded")
@@ -181,25 +181,25 @@
 
 @then('the second dispatch caller gets "{outcome}"')
 def step_second_gets(context, outcome):
-    assert context.second.outcome == outcome, (context.second.outcome, context.second.fault)
+    assert context.second.outcome == outcome, (context.second.outcome, context.second.error)
 
 
-@then("the second dispatch caller was told when to come back")
-def step_second_told(context):
-    assert context.second.fault.retry_after_ms > 0
+@then("the second dispatch caller gets a retry-after time")
+def step_second_retry_after(context):
+    assert context.second.error.retry_after_ms > 0
 
 
 @then('the second dispatch refusal says ran "{ran}"')
 def step_second_ran(context, ran):
-    assert context.second.fault.ran.value == ran
+    assert context.second.error.ran.value == ran
 
 
 @then('dispatch engine "{name}" was never called')
 def step_never(context, name):
-    assert name not in context.gw.backends.ran
+    assert name not in context.gw.backends.called
 
 
-@then('dispatch tells that account "{account}" was "{kind}" for "{reason}"')
-def step_tells(context, account, kind, reason):
-    told = context.gw.dispatch.status()["accounts"][account]
-    assert [(one["kind"], one["reason"]) for one in told] == [(kind, reason)], told
+@then('the dispatch status shows that account "{account}" was "{kind}" for "{reason}"')
+def step_explained(context, account, kind, reason):
+    explanations = context.gw.dispatch.status()["accounts"][account]
+    assert [(one["kind"], one["reason"]) for one in explanations] == [(kind, reason)], explanations
