--- a/tests/backends/plain.feature
+++ b/tests/backends/plain.feature
@@ -1,11 +1,11 @@
-Feature: plain services are passed through, and their calls are not repeated
+Feature: calls to plain services are passed through and not retried
 
   Background:
     Given a backends rig
 
   Scenario Outline: each method and status passes through
     When the backends rig sends "<method>" "<path>" to the plain service
-    Then the plain answer at the backends rig has status <status> and <size> bytes
+    Then the plain response at the backends rig has status <status> and <size> bytes
 
     Examples:
       | method | path                    | status | size   |
@@ -18,11 +18,11 @@
       | GET    | /unchanged              | 304    | 0      |
       | GET    | /nowhere                | 404    | 24     |
 
-  Scenario Outline: a call that may not be repeated is unknown once it was sent
-    # The service takes the booking and its answer is lost. The caller is told that the
-    # outcome is unknown and not to repeat it; the service ran it once.
+  Scenario Outline: a call that is not idempotent has an unknown outcome once it was sent
+    # The service accepts the booking and its response is lost. The caller's error says that the
+    # outcome is unknown and not to retry; the service ran it once.
     Given the backends rig's plain service has fault "<fault>"
-    When the backends rig books once
+    When the backends rig sends a booking that is not idempotent
     Then the backends rig's caller got error "<kind>" with ran "<ran>"
     And the backends rig's plain service ran it <runs> times
 
@@ -33,15 +33,15 @@
       | crossed       | backend_unknown | unknown | 1    |
       | refuse        | backend_refused | no      | 0    |
 
-  Scenario: a silent plain service is noticed within its limit
-    # The service takes the call and never answers. Its limit is 300 ms to the first byte; the
-    # next call must not meet the connection that fell silent.
+  Scenario: a silent plain service ends the call within its timeout
+    # The service accepts the call and never responds. Its timeout is 300 ms to the first byte; the
+    # next call must not use the connection that fell silent.
     Given the backends rig's plain service has fault "accept_silent"
     When the backends rig sends "GET" "/bytes" to the plain service
-    Then the backends rig noticed after 300 to 600 ms
+    Then the backends rig's call ended after 300 to 600 ms
     And the backends rig's caller got error "backend_silent" with ran "unknown"
 
-  Scenario Outline: an answer that ends early is an error
+  Scenario Outline: a response that ends early is an error
     Given the backends rig's plain service has fault "<fault>" after 5 bytes
     When the backends rig sends "GET" "<path>" to the plain service
     Then the backends rig's caller got error "<kind>" with ran "unknown"
@@ -52,13 +52,13 @@
       | cut    | /bytes?count=10&length=0 | stream_broken  |
       | silent | /bytes?count=10          | backend_silent |
 
-  Scenario: a call that may not be repeated never goes on a used connection
+  Scenario: a call that is not idempotent is never sent on a used connection
     When the backends rig sends "GET" "/bytes?count=1" to the plain service
-    And the backends rig books once
-    Then the plain answer at the backends rig has status 201 and 8 bytes
+    And the backends rig sends a booking that is not idempotent
+    Then the plain response at the backends rig has status 201 and 8 bytes
     And the backends rig opened 2 connections for calls
 
-  Scenario: headers for one hop and credentials stop at the gateway
+  Scenario: hop-by-hop headers and credentials are not forwarded
     When the backends rig sends the plain service headers
       | name                | value        |
       | Authorization       | Bearer s     |
@@ -72,9 +72,9 @@
       | TE                  | trailers     |
       | Upgrade             | h2c          |
       | X-Kept              | yes          |
-    Then the plain service at the backends rig saw exactly the caller's headers "x-kept"
-    And the plain service at the backends rig saw account "family"
+    Then the plain service at the backends rig got exactly the caller's headers "x-kept"
+    And the plain service at the backends rig got account "family"
 
-  Scenario: headers for one hop do not come back either
+  Scenario: hop-by-hop headers are not returned either
     When the backends rig sends "GET" "/hints" to the plain service
-    Then the plain answer at the backends rig has header "x-kept" and not "x-hint keep-alive connection"
+    Then the plain response at the backends rig has header "x-kept" and not "x-hint keep-alive connection"
--- a/tests/backends/sse.feature
+++ b/tests/backends/sse.feature
@@ -1,12 +1,12 @@
-Feature: events are cut and joined so that each token comes once
+Feature: an event stream is split into events so that each token is delivered once
 
-  Scenario: any cut into reads and any breaks give the same events
-    # The bytes of a stream arrive cut anywhere, and the connection breaks anywhere; after each
-    # break the stream goes on from the position that was reached, or a token too early. The
-    # caller must get every event once, in order, and the usage must be found.
-    Then any cut and any breaks of an event stream give each event once
+  Scenario: any split into reads and any interruptions give the same events
+    # The bytes of a stream arrive split anywhere, and the connection breaks anywhere; after each
+    # break the stream resumes from the position reached, or one token too early. The caller must
+    # get every event once, in order, and the usage must be found.
+    Then an event stream that is split and interrupted anywhere yields each event once
 
-  Scenario Outline: what cannot be a whole stream is not taken for one
+  Scenario Outline: an incomplete or malformed stream is not taken for a complete one
     Then an event stream "<what>" at the reader gives "<outcome>"
 
     Examples:
@@ -15,6 +15,6 @@
       | ended twice           | done    |
       | with carriage returns | done    |
       | with comments         | done    |
-      | a hole after a resume | error   |
+      | a gap after a resume | error   |
       | an endless event      | error   |
       | usage not JSON        | error   |
--- a/tests/dispatch/dispatch.feature
+++ b/tests/dispatch/dispatch.feature
@@ -34,7 +34,7 @@
     # The engine refuses, fails, or stops without an end mark. The prompt that was prefilled and the
     # tokens that reached the caller are charged, the rest is refunded.
     Given a dispatch gateway with engines "e1"
-    And dispatch engine "e1" will "<plan>"
+    And dispatch engine "e1" has plan "<plan>"
     When a dispatch caller sends a call that is not idempotent
     And 5000 ms pass at dispatch
     Then the dispatch caller gets "<outcome>"
@@ -51,7 +51,7 @@
     # The caller's connection closes during the stream and its task is cancelled. Without a
     # cancel, the engine would go on generating for nobody in a slot that others wait for.
     Given a dispatch gateway with engines "e1"
-    And dispatch engine "e1" will "hang"
+    And dispatch engine "e1" has plan "hang"
     When a dispatch caller of account "family" sends a call
     And the dispatch caller disconnects
     Then dispatch engine "e1" got a cancel
@@ -61,7 +61,7 @@
     # The ticket comes into force during the stream. The caller gets an error, never a clean end,
     # and the engine gets a cancel.
     Given a dispatch gateway with engines "e1"
-    And dispatch engine "e1" will "hang"
+    And dispatch engine "e1" has plan "hang"
     When a dispatch caller of account "family" sends a call
     And a ticket at dispatch "<change>"
     Then the dispatch caller gets "<outcome>"
@@ -75,7 +75,7 @@
   Scenario: a call that is not idempotent runs to its end though its key was revoked
     # The call is at its backend server already. Terminating it would leave an unknown outcome.
     Given a dispatch gateway with engines "e1"
-    And dispatch engine "e1" will "hang"
+    And dispatch engine "e1" has plan "hang"
     When a dispatch caller sends a call that is not idempotent
     And a ticket at dispatch "revokes the key"
     Then the dispatch caller gets "running"
--- a/tests/dispatch/load.feature
+++ b/tests/dispatch/load.feature
@@ -5,7 +5,7 @@
     # known not to have run, is retried at the other engine; one that may have run and may not run
     # twice is not.
     Given a dispatch gateway with engines "e1 e2"
-    And every dispatch engine but the second one called will "<plan>"
+    And every dispatch engine but the second one called has plan "<plan>"
     When a dispatch caller sends a call, idempotent: "<idempotent>"
     And 50 ms pass at dispatch
     Then the dispatch caller gets "<outcome>"
@@ -23,7 +23,7 @@
     # The caller has the first tokens when the stream breaks off. A second attempt would send them
     # twice; the caller gets an error and never a clean end.
     Given a dispatch gateway with engines "e1 e2"
-    And every dispatch engine but the second one called will "cut"
+    And every dispatch engine but the second one called has plan "cut"
     When a dispatch caller sends a call, idempotent: "yes"
     And 50 ms pass at dispatch
     Then the dispatch caller gets "stream_broken"
@@ -34,7 +34,7 @@
     # without earlier traffic is 10 retries and a tenth of the calls, so 16 calls make at most 27
     # attempts. A caller gets the failure, or a refusal as not run while all engines are ejected.
     Given a dispatch gateway with engines "e1 e2 e3"
-    And every dispatch engine will "fail"
+    And every dispatch engine has plan "fail"
     When 16 dispatch callers send a call one after the other
     And 6000 ms pass at dispatch
     Then every dispatch caller gets one of "backend_failed overloaded deadline"
@@ -44,7 +44,7 @@
     # One engine has one slot. The second call waits in the queue and not at the engine; when the
     # first caller disconnects, the second call gets the slot.
     Given a dispatch gateway with one engine of 1 slots
-    And dispatch engine "e1" will "hang"
+    And dispatch engine "e1" has plan "hang"
     When a dispatch caller of account "family" sends a call
     And a second dispatch caller of account "bound" sends a call
     Then 1 dispatch engine calls were made
@@ -55,7 +55,7 @@
     # The second call waits two of its five seconds for the only slot. With the deadline on
     # arrival, the engine would schedule by time that has already passed.
     Given a dispatch gateway with one engine of 1 slots
-    And dispatch engine "e1" will "hang"
+    And dispatch engine "e1" has plan "hang"
     When a dispatch caller of account "family" sends a call
     And a second dispatch caller of account "bound" sends a call
     And 2000 ms pass at dispatch
@@ -67,7 +67,7 @@
     # The only slot stays occupied. A queued call is refused as soon as its deadline can no longer
     # be met, as not run, with a retry-after time, and is not charged.
     Given a dispatch gateway with one engine of 1 slots
-    And dispatch engine "e1" will "hang"
+    And dispatch engine "e1" has plan "hang"
     When a dispatch caller of account "family" sends a call
     And a second dispatch caller of account "bound" sends a call
     And 5200 ms pass at dispatch
@@ -77,7 +77,7 @@
 
   Scenario: a caller that disconnects while queued frees its queue entry and tokens
     Given a dispatch gateway with one engine of 1 slots
-    And dispatch engine "e1" will "hang"
+    And dispatch engine "e1" has plan "hang"
     When a dispatch caller of account "family" sends a call
     And a second dispatch caller of account "bound" sends a call
     And the second dispatch caller disconnects
@@ -128,7 +128,7 @@
 
   Scenario: a VM that shuts down refuses new calls and lets the running one end
     Given a dispatch gateway with engines "e1"
-    And dispatch engine "e1" will "hang"
+    And dispatch engine "e1" has plan "hang"
     When a dispatch caller of account "family" sends a call
     And the dispatch service drains
     And a second dispatch caller of account "bound" sends a call
@@ -158,7 +158,7 @@
     # would wait until their timeout; they are cancelled there and run elsewhere, and each caller
     # gets one complete response.
     Given a dispatch gateway with engines "e1 e2 e3"
-    And dispatch engine "e1" will "silent"
+    And dispatch engine "e1" has plan "silent"
     When 12 dispatch callers send a call one after the other
     And 2000 ms pass at dispatch
     Then every dispatch caller gets "complete"
@@ -167,7 +167,7 @@
     # The caller reads the first part and closes the response, as the front does when the
     # connection closes while nothing is awaited from the engine.
     Given a dispatch gateway with engines "e1"
-    And dispatch engine "e1" will "hang"
+    And dispatch engine "e1" has plan "hang"
     When a dispatch caller reads one part and closes the response
     Then dispatch engine "e1" got a cancel
 
--- a/tests/steps/backends/backends_steps.py
+++ b/tests/steps/backends/backends_steps.py
@@ -27,7 +27,7 @@
     context.rig.engine.app.faults.set(fault)
 
 
-@given("the backends rig's engine repeats a token when resumed")
+@given("the backends rig's engine repeats a token on resume")
 def step_repeats(context):
     faults = context.rig.engine.app.faults
     queue = [faults.take(), Fault(kind=FaultKind.DUPLICATE)]
@@ -46,26 +46,26 @@
 
 def read(context, call, name, **options):
     context.sent = call
-    context.got = context.call(
+    context.received = context.call(
         lambda: context.rig.run_call(call, context.rig.servers[name], **options)
     )
 
 
-@when("the backends rig reads an engine call, streamed: {word}")
-def step_read_engine(context, word):
+@when("the backends rig sends an engine call, streamed: {word}")
+def step_send_engine(context, word):
     fields = {} if word == "yes" else {"deadline_ms": 400}
     read(context, context.rig.engine_call(stream=word == "yes", **fields), "engine")
 
 
-@when("the backends rig reads an engine call at a closed port")
-def step_read_closed(context):
+@when("the backends rig sends an engine call to a closed port")
+def step_send_closed(context):
     servers = context.rig.servers
     servers["closed"] = replace(servers["engine"], name="closed", port=1)
     read(context, context.rig.engine_call(), "closed")
 
 
-@when("the backends rig's caller vanishes after {count:d} tokens of {total:d}")
-def step_vanishes(context, count, total):
+@when("the backends rig's caller disconnects after {count:d} tokens of {total:d}")
+def step_disconnects(context, count, total):
     read(context, context.rig.engine_call(tokens=total), "engine", stop_after=count)
 
 
@@ -74,8 +74,8 @@
     read(context, context.rig.plain_call(method, path), "plain")
 
 
-@when("the backends rig books once")
-def step_books(context):
+@when("the backends rig sends a booking that is not idempotent")
+def step_booking(context):
     call = context.rig.plain_call("POST", "/bookings", body=b'{"wheel":1}', idempotent=False)
     read(context, call, "plain")
 
@@ -88,7 +88,7 @@
 
 @when("the backends rig waits for a load report")
 def step_wait_report(context):
-    context.call(eventually, lambda: context.rig.backends.report("engine"))
+    context.call(wait_until, lambda: context.rig.backends.report("engine"))
 
 
 @when("the backends rig's service crashes once")
@@ -100,45 +100,47 @@
         rig.config.set(*rig.servers.values())
 
     context.call(crash)
-    context.call(eventually, lambda: rig.kernel.restarts.get("backends"))
+    context.call(wait_until, lambda: rig.kernel.restarts.get("backends"))
 
 
-@when("the backends rig's engine is asked for its load again")
+@when("the backends rig's engine reports its load again")
 def step_load_again(context):
     rig = context.rig
-    asked = rig.backends._poller._reports["engine"].at_ms
-    context.call(eventually, lambda: rig.backends._poller._reports["engine"].at_ms > asked + 100)
+    last_report_ms = rig.backends._poller._reports["engine"].at_ms
+    context.call(
+        wait_until, lambda: rig.backends._poller._reports["engine"].at_ms > last_report_ms + 100
+    )
 
 
-@when("the backends rig's engine is gone")
-def step_gone(context):
+@when("the backends rig's engine is stopped")
+def step_stopped(context):
     context.call(context.rig.engine.listener.abort)
 
 
-async def eventually(check, *, seconds=5):
+async def wait_until(check, *, seconds=5):
     with anyio.fail_after(seconds):
         while not (found := check()):
             await anyio.sleep(0.005)
     return found
 
 
-@then("the engine answer at the backends rig is whole with usage")
+@then("the engine response at the backends rig is complete with usage")
 def step_whole(context):
-    got = context.got
-    assert got.error is None, got.error
+    received = context.received
+    assert received.error is None, received.error
     body = msgspec.json.decode(context.sent.body)
-    wanted = answer_text(body)
+    expected = answer_text(body)
     if body["stream"]:
-        assert got.body.endswith(b"data: [DONE]\n\n")
-        assert b'"usage"' not in got.body, "the caller did not ask for usage"
-        assert got.text == wanted, got.text
+        assert received.body.endswith(b"data: [DONE]\n\n")
+        assert b'"usage"' not in received.body, "the caller did not ask for usage"
+        assert received.text == expected, received.text
     else:
-        text = msgspec.json.decode(got.body)["choices"][0]["message"]["content"]
-        assert text == wanted, text
-    assert got.tokens == body["max_tokens"], got.tokens
-    assert got.end is not None
+        text = msgspec.json.decode(received.body)["choices"][0]["message"]["content"]
+        assert text == expected, text
+    assert received.tokens == body["max_tokens"], received.tokens
+    assert received.end is not None
     prompt = msgspec.json.encode(body["messages"])
-    assert got.end.usage == Usage(len(prompt) // 4, body["max_tokens"]), got.end
+    assert received.end.usage == Usage(len(prompt) // 4, body["max_tokens"]), received.end
 
 
 @then("the backends rig counted {count:d} resume")
@@ -153,22 +155,22 @@
 
 @then('the backends rig\'s caller got error "{kind}" with ran "{ran}"')
 def step_error(context, kind, ran):
-    got = context.got
-    assert got.error is not None, got.parts
-    assert (got.error.kind.value, got.error.ran) == (kind, Ran(ran)), got.error
-    assert got.end is None
+    received = context.received
+    assert received.error is not None, received.parts
+    assert (received.error.kind.value, received.error.ran) == (kind, Ran(ran)), received.error
+    assert received.end is None
 
 
-@then("the backends rig noticed after {low:d} to {high:d} ms")
-def step_noticed(context, low, high):
-    assert low <= context.got.took_ms <= high, context.got.took_ms
+@then("the backends rig's call ended after {low:d} to {high:d} ms")
+def step_ended_after(context, low, high):
+    assert low <= context.received.took_ms <= high, context.received.took_ms
 
 
-@then("the backends rig's engine was told to cancel")
+@then("the backends rig's engine got a cancel")
 def step_cancelled(context):
-    assert context.got.end is None
+    assert context.received.end is None
     batch = context.rig.engine.app.batch
-    context.call(eventually, lambda: batch.cancels)
+    context.call(wait_until, lambda: batch.cancels)
     stream = batch.streams[batch.cancels[0]]
     assert stream.produced < stream.max_tokens
 
@@ -186,17 +188,17 @@
     assert report.lag_ms >= 0
 
 
-@then("the backends rig shows no load report")
+@then("the backends rig has no load report")
 def step_no_report(context):
-    context.call(eventually, lambda: context.rig.backends.report("engine") is None)
+    context.call(wait_until, lambda: context.rig.backends.report("engine") is None)
 
 
-@then("the plain answer at the backends rig has status {status:d} and {size:d} bytes")
-def step_plain_answer(context, status, size):
-    got = context.got
-    assert got.error is None, got.error
-    assert (got.head.status, len(got.body)) == (status, size), got.parts
-    assert got.end is not None
+@then("the plain response at the backends rig has status {status:d} and {size:d} bytes")
+def step_plain_response(context, status, size):
+    received = context.received
+    assert received.error is None, received.error
+    assert (received.head.status, len(received.body)) == (status, size), received.parts
+    assert received.end is not None
 
 
 @then("the backends rig's plain service ran it {runs:d} times")
@@ -204,19 +206,19 @@
     assert context.rig.plain.app.executions[context.sent.request_id] == runs
 
 
-@then('the plain service at the backends rig saw exactly the caller\'s headers "{names}"')
-def step_saw(context, names):
+@then('the plain service at the backends rig got exactly the caller\'s headers "{names}"')
+def step_got_headers(context, names):
     seen = context.rig.plain.app.headers[-1]
     assert set(seen) - OWN_HEADERS == set(names.split()), seen
 
 
-@then('the plain service at the backends rig saw account "{name}"')
-def step_saw_account(context, name):
+@then('the plain service at the backends rig got account "{name}"')
+def step_got_account(context, name):
     assert context.rig.plain.app.headers[-1]["x-account"] == name
 
 
-@then('the plain answer at the backends rig has header "{kept}" and not "{dropped}"')
+@then('the plain response at the backends rig has header "{kept}" and not "{dropped}"')
 def step_headers(context, kept, dropped):
-    names = {name for name, _ in context.got.head.headers}
+    names = {name for name, _ in context.received.head.headers}
     assert kept in names, names
     assert not names & set(dropped.split()), names
--- a/tests/steps/backends/rig.py
+++ b/tests/steps/backends/rig.py
@@ -1,4 +1,4 @@
-"""One real ``backends`` service before one stand-in, with limits short enough for tests."""
+"""A real ``backends`` service with stand-ins as servers and timeouts short enough for tests."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 class FakeConfig(Service):
-    """Configuration that a test sets."""
+    """Configuration set by a test."""
 
     name = CONFIG
 
@@ -67,7 +67,7 @@
     async def wait_past(self, position):
         if self.crash:
             self.crash = False
-            raise RuntimeError("crash wanted by the test")
+            raise RuntimeError("crash raised by the test")
         while self.state.position <= position:
             await self._changed.wait()
         return self.state
@@ -80,8 +80,8 @@
 
 
 @dataclass
-class Got:
-    """What the reader of an answer received."""
+class ReceivedResponse:
+    """What the reader of a response received."""
 
     parts: list = field(default_factory=list)
     error: GatewayError | None = None
@@ -181,18 +181,18 @@
         return Call(request_id=f"r{self.calls}", account="family", key_digest="digest", **fields)
 
     async def run_call(self, call, backend, *, stop_after=None):
-        got = Got()
-        begun = self.clock.now()
+        received = ReceivedResponse()
+        started_ms = self.clock.now()
         try:
             async with aclosing(self.backends.run(call, backend)) as parts:
                 async for part in parts:
-                    got.parts.append(part)
-                    if stop_after is not None and got.tokens >= stop_after:
+                    received.parts.append(part)
+                    if stop_after is not None and received.tokens >= stop_after:
                         break
         except GatewayError as exc:
-            got.error = exc
-        got.took_ms = self.clock.now() - begun
-        return got
+            received.error = exc
+        received.took_ms = self.clock.now() - started_ms
+        return received
 
     def count(self, name, **labels):
         return self.counters.registry.get_sample_value(f"hickorybeam_{name}_total", labels) or 0
--- a/tests/steps/backends/wire_steps.py
+++ b/tests/steps/backends/wire_steps.py
@@ -13,7 +13,7 @@
 BYTES = {
     "length": OK + b"content-length: 5\r\n\r\nhello",
     "chunked": CHUNKED + b"2\r\nhe\r\n3\r\nllo\r\n0\r\n\r\n",
-    "close asked": OK + b"connection: close\r\ncontent-length: 5\r\n\r\nhello",
+    "close requested": OK + b"connection: close\r\ncontent-length: 5\r\n\r\nhello",
     "old http": b"HTTP/1.0 200 OK\r\n\r\nhello",
     "early hints": b"HTTP/1.1 103 Early Hints\r\nlink: x\r\n\r\n"
     + OK
@@ -21,7 +21,7 @@
     "head": OK + b"content-length: 5\r\n\r\n",
     "no content": b"HTTP/1.1 204 No Content\r\n\r\n",
     "not modified": b"HTTP/1.1 304 Not Modified\r\ncontent-length: 5\r\n\r\n",
-    "surplus": OK + b"content-length: 5\r\n\r\nhello" + OK + b"content-length: 1\r\n\r\nx",
+    "extra bytes": OK + b"content-length: 5\r\n\r\nhello" + OK + b"content-length: 1\r\n\r\nx",
     "short": OK + b"content-length: 9\r\n\r\nhello",
     "half chunk": CHUNKED + b"9\r\nhello",
     "no last chunk": CHUNKED + b"5\r\nhello\r\n",
@@ -29,13 +29,21 @@
     "not http": b"SSH-2.0-OpenSSH\r\n\r\n",
     "two lengths": OK + b"content-length: 5\r\ncontent-length: 6\r\n\r\nhello",
     "length and chunked": OK + b"content-length: 5\r\ntransfer-encoding: chunked\r\n\r\n0\r\n\r\n",
-    "half a head": OK + b"content-le",
+    "incomplete head": OK + b"content-le",
     "nothing": b"",
-    "endless head": OK + b"x-a: b\r\n" * 100_000 + b"\r\n",
+    "oversized head": OK + b"x-a: b\r\n" * 100_000 + b"\r\n",
     "switching protocols": b"HTTP/1.1 101 Switching\r\nupgrade: x\r\nconnection: upgrade\r\n\r\n",
-    "answer to another": OK + b"x-request-id: other\r\ncontent-length: 5\r\n\r\nhello",
+    "response to another": OK + b"x-request-id: other\r\ncontent-length: 5\r\n\r\nhello",
+}
+STAYS_OPEN = {
+    "length",
+    "chunked",
+    "early hints",
+    "head",
+    "no content",
+    "not modified",
+    "extra bytes",
 }
-WAITS = {"length", "chunked", "early hints", "head", "no content", "not modified", "surplus"}
 INVALID = {
     "a line break in a value": {"headers": (("x-a", "b\r\nx-admin: 1"),)},
     "a space in the target": {"path": "/x HTTP/1.1\r\nx-admin: 1"},
@@ -45,17 +53,17 @@
 
 @given('a raw server at the backends rig that sends "{what}"')
 def step_raw_server(context, what):
-    async def answer(stream):
+    async def respond(stream):
         async with stream:
             await stream.receive()
             with anyio.move_on_after(5):
                 await stream.send(BYTES[what])
-                if what in WAITS:
+                if what in STAYS_OPEN:
                     await anyio.sleep(5)
 
     async def start():
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
-        context.rig.tg.start_soon(listener.serve, answer)
+        context.rig.tg.start_soon(listener.serve, respond)
         return listener.extra(anyio.abc.SocketAttribute.local_port)
 
     port = context.call(start)
@@ -63,7 +71,7 @@
     servers["raw"] = replace(servers["plain"], name="raw", port=port)
 
 
-@given("the backends rig's plain service answers its first call {ms:d} ms late")
+@given("the backends rig's plain service responds to its first call {ms:d} ms late")
 def step_late(context, ms):
     context.rig.plain.app.faults.set(Fault(kind=FaultKind.LATE, ms=ms, count=1))
 
@@ -79,15 +87,15 @@
     read(context, context.rig.plain_call(**fields), "plain")
 
 
-@then('the raw answer at the backends rig is "{outcome}"')
+@then('the raw response at the backends rig is "{outcome}"')
 def step_outcome(context, outcome):
-    got = context.got
-    if got.error is not None:
-        assert got.error.kind.value == outcome, got.error
-        assert got.end is None
+    received = context.received
+    if received.error is not None:
+        assert received.error.kind.value == outcome, received.error
+        assert received.end is None
         return
-    assert got.end is not None
-    assert f"{got.head.status} {got.body.decode()}".strip() == outcome, got.parts
+    assert received.end is not None
+    assert f"{received.head.status} {received.body.decode()}".strip() == outcome, received.parts
 
 
 @then("the backends rig keeps the raw connection: {word}")
@@ -96,7 +104,7 @@
     assert idle == (1 if word == "yes" else 0), idle
 
 
-@then('the plain answer at the backends rig names path "{path}"')
+@then('the plain response at the backends rig names path "{path}"')
 def step_path(context, path):
-    assert context.got.error is None, context.got.error
-    assert f'"path":"{path}"'.encode() in context.got.body, context.got.body
+    assert context.received.error is None, context.received.error
+    assert f'"path":"{path}"'.encode() in context.received.body, context.received.body
--- a/tests/steps/dispatch/dispatch_steps.py
+++ b/tests/steps/dispatch/dispatch_steps.py
@@ -27,7 +27,7 @@
     context.stack.enter_context(context.portal.wrap_async_context_manager(context.gw))
 
 
-@given('dispatch engine "{name}" will "{plan}"')
+@given('dispatch engine "{name}" has plan "{plan}"')
 def step_plan(context, name, plan):
     context.gw.backends.plans[name] = plan
 
--- a/tests/steps/dispatch/load_steps.py
+++ b/tests/steps/dispatch/load_steps.py
@@ -19,13 +19,13 @@
     context.stack.enter_context(context.portal.wrap_async_context_manager(context.gw))
 
 
-@given('every dispatch engine will "{plan}"')
+@given('every dispatch engine has plan "{plan}"')
 def step_all_plans(context, plan):
     for engine in context.gw.engines:
         context.gw.backends.plans[engine.name] = plan
 
 
-@given('every dispatch engine but the second one called will "{plan}"')
+@given('every dispatch engine but the second one called has plan "{plan}"')
 def step_other_plans(context, plan):
     context.gw.backends.plans_in_order = itertools.chain([plan], itertools.repeat("ok"))
 
