--- a/src/hickorybeam/backends/http1.py
+++ b/src/hickorybeam/backends/http1.py
@@ -1,7 +1,7 @@
 """HTTP/1.1 connection to one backend server: httpcore's sockets with the parser of httptools.
 
 httpcore's own parser is written in Python and took over a third of the relay's processor time
-(docs/design/relay.md). httptools is what uvicorn uses on the caller's side.
+(docs/design/relay.md), so the framing is left to httptools, as uvicorn does on the caller's side.
 """
 
 from __future__ import annotations
--- a/src/hickorybeam/dispatch/metrics.py
+++ b/src/hickorybeam/dispatch/metrics.py
@@ -16,7 +16,7 @@
 
 MS_PER_SECOND = 1000
 MAX_EXPLANATIONS_PER_ACCOUNT = 8
-# For 850 accounts; beyond the limit, the least recently explained one is dropped.
+# Sized for 850 accounts; beyond the limit, the least recently explained one is dropped.
 MAX_ACCOUNTS = 1_000
 
 
