--- a/src/hickorybeam/platform/store.py
+++ b/src/hickorybeam/platform/store.py
@@ -167,14 +167,14 @@
                 await self._clock.sleep(self.watch_pause_ms)
 
     async def _poll(self, prefix: str, after: int) -> tuple[int, Mapping[str, Any]]:
-        wait_ms = self.watch_poll_timeout_ms
-        path = f"/kv-watch?prefix={quote(prefix, safe='/')}&after={after}&wait-ms={wait_ms}"
+        poll_timeout_ms = self.watch_poll_timeout_ms
+        path = f"/kv-watch?prefix={quote(prefix, safe='/')}&after={after}&wait-ms={poll_timeout_ms}"
         poll = _PendingPoll(anyio.CancelScope(), self._clock.now())
         self._pending_polls.add(poll)
         try:
             with poll.scope:
                 return await self._call(
-                    "watch", "GET", path, None, limit_ms=wait_ms + WATCH_POLL_MARGIN_MS
+                    "watch", "GET", path, None, limit_ms=poll_timeout_ms + WATCH_POLL_MARGIN_MS
                 )
         finally:
             self._pending_polls.discard(poll)
