--- a/tests/gateway/input.feature
+++ b/tests/gateway/input.feature
@@ -1,6 +1,6 @@
-Feature: input that makes no sense harms nobody else
+Feature: invalid input does not affect other callers
 
-  Scenario Outline: a caller's bytes that are no request get a clear answer or a closed connection
+  Scenario Outline: bytes that are no valid request get a clear response or a closed connection
     Given a small gateway
     When a caller sends "n1" the bytes "<data>"
     Then the caller gets <status>
@@ -17,23 +17,23 @@
       | GET * HTTP/1.1~Host: shop.example~~                | 404    |
       | GET /look/x HTTP/1.1~Host: ~~                      | 404    |
 
-  Scenario: a caller that would like another protocol gets its answer in this one
-    # The parser stops after such a request; refused then, the request would run and its answer
-    # be thrown away.
+  Scenario: a request to upgrade the protocol is answered in HTTP/1.1
+    # The HTTP parser stops after such a request. If the request were refused at that point, it
+    # would still be executed and its response discarded.
     Given a small gateway
-    When "n1" is asked for "/look/x" by a caller of "small" that would like "h2c"
+    When "n1" gets a request for "/look/x" with an upgrade to "h2c" from a caller of "small"
     Then the caller gets 200 with body "done by b1" and its signature
 
-  Scenario Outline: words between VMs that cannot be read are passed over
+  Scenario Outline: invalid messages between VMs are ignored
     Given a small gateway with VMs "n1, n2"
     When the peers' port of "n1" gets <what>
     And a caller of "small" asks "n1" for "/look/x"
     Then the caller gets 200
-    And "n1" still hears 2 VMs
+    And "n1" still counts 2 live VMs
 
     Examples:
-      | what                                  |
-      | a datagram of random bytes            |
-      | a datagram of another type            |
-      | a handed-over request without a limit |
-      | a handed-over request with limit "x"  |
+      | what                                      |
+      | a datagram of random bytes                |
+      | a datagram of another type                |
+      | a forwarded request without a time left   |
+      | a forwarded request with a time left "x"  |
--- a/tests/gateway/regions.feature
+++ b/tests/gateway/regions.feature
@@ -1,119 +1,119 @@
 Feature: regions, evacuations, cold and leaving servers
 
-  Scenario: a request whose home is another region is handed over once
-    # Its data may be processed in the south only; the caller reached a VM in the north.
+  Scenario: a request whose home region is another one is forwarded once
+    # Its data may be processed in the south only, and the caller reached a VM in the north.
     Given a small gateway with a southern region
     When a caller of "small" asks "n1" for "/local/x"
     Then the caller gets 200 with body "done by b9" and its signature
 
-  Scenario: a home region whose only VM shuts down still gets what surely ends there
-    # VMs are replaced in turn, and for seconds all of the south's shut down. Requests that may run
-    # nowhere else reach a VM in the north, which refused them although the one in the south
-    # goes on taking what ends before it does.
-    Given a small gateway with a southern region, whose VMs may take 4 s to stop
-    When VM "s1" begins to leave
-    And a caller of "small" asks "n1" for "/local/x" waiting 500 ms
+  Scenario: a home region whose only VM shuts down still gets what surely ends in time there
+    # VMs are replaced one after the other, and for seconds all of the south's are shutting down.
+    # Requests that may run nowhere else reach a VM in the north. It must not refuse them while the
+    # one in the south still accepts what ends before it stops.
+    Given a small gateway with a southern region, whose VMs have a grace period of 4 s
+    When VM "s1" begins to shut down
+    And a caller of "small" asks "n1" for "/local/x" with a deadline of 500 ms
     Then the caller gets 200 with body "done by b9" and its signature
 
-  Scenario: an account whose home and the route's exclude each other is served nowhere
+  Scenario: a request is served nowhere if the home regions of account and route exclude each other
     Given a small gateway with a southern region
     When a caller of "northern" asks "n1" for "/local/x"
-    Then the caller gets 503 with a time to come back
-    And no server ran anything
+    Then the caller gets 503 with a retry-after time
+    And no server executed a request
 
-  Scenario: an evacuated data centre gets nothing and the other region serves
+  Scenario: an evacuated data centre gets no requests and the other region serves
     Given a small gateway with a southern region
     When the operator evacuates "north-1"
     And 5 callers of "small" ask "n1" for "/look/x"
     Then each caller gets 200
-    And server "b1" ran 0 requests
-    When the operator takes "north-1" back
+    And server "b1" executed 0 requests
+    When the operator ends the evacuation of "north-1"
     And a caller of "small" asks "n1" for "/look/x"
     Then the caller gets 200 with body "done by b1" and its signature
 
-  Scenario: a leaving server gets no new work
+  Scenario: a leaving server gets no new requests
     Given a small gateway with servers "b1:books, b2:books, m1:model"
-    When server "b1" says that it is leaving
+    When server "b1" registers as leaving
     And 6 callers of "small" ask "n1" for "/look/x"
     Then each caller gets 200
-    And server "b1" ran 0 requests
+    And server "b1" executed 0 requests
 
-  Scenario: a cold server gets no more than its owners' parts
-    # It has just started and crashes at a rate well above what it bears. Two callers' worth of
-    # patience is refused or served elsewhere rather than sent there.
+  Scenario: a cold server gets no more than its rate limit allows
+    # It has just started and would crash at a rate well above its limit. The excess requests are
+    # refused or served elsewhere.
     Given a small gateway with servers "m1:model, b1:books"
-    When server "m1" starts anew and is cold for 1500 ms
+    When server "m1" restarts and is cold for 1500 ms
     And 6 callers of "small" ask "n1" for "/chat/x" by POST
-    Then server "m1" ran at most 2 requests
+    Then server "m1" executed at most 2 requests
 
-  Scenario: a server that turns cold while nobody tells changes is found by asking it
-    # The store is out for all VMs, or this data centre is cut off from it. A server that it goes
-    # on sending to turns cold; its entry in the store would have told. Sent to at the full rate,
-    # it crashes. One VM asks it for its health and tells the other, which did not.
+  Scenario: a health check finds a server that turns cold while no store changes arrive
+    # The store is unavailable to all VMs, or this data centre is cut off from it. A server that is
+    # still in use turns cold, which only its entry in the store would show; at the full rate it
+    # would crash. One VM checks its health and reports the result to the other VMs.
     Given a small gateway with servers "m1:model, b1:books"
-    When the store goes out and is known to be out
+    When the store becomes unavailable and every VM has noticed
     And server "m1" turns cold for 4000 ms
     Then within 2 s every VM knows that server "m1" is cold
     When 6 callers of "small" ask "n1" for "/chat/x" by POST
-    Then server "m1" ran at most 2 requests
+    Then server "m1" executed at most 2 requests
 
-  Scenario: servers are not asked while the store tells changes
+  Scenario: no health checks are sent while changes of the store arrive
     Given a small gateway with servers "m1:model, b1:books"
     When 1.5 s pass
-    Then no VM has asked a server for its health
+    Then no VM has sent a health check
 
-  Scenario: an entry that another writer left names no server and harms no other
+  Scenario: another writer's invalid server entries are ignored and affect no other server
     Given a small gateway
-    When the store gets foreign entries for servers
+    When another writer puts invalid server entries into the store
     And a caller of "small" asks "n1" for "/look/x"
     Then the caller gets 200
 
-  Scenario: a server that lacks a shared part is told from where to copy it
-    # The same long part is read at a server of each region. The second one copies it from the
-    # first, which takes some ms where reading takes a hundred; a caller can't set that itself.
+  Scenario: a server that lacks a shared part gets an address to copy it from
+    # A server in each region prefills the same long part. The second one copies it from the first,
+    # in some ms instead of a hundred. A caller can't set that address itself.
     Given a small gateway with a southern region
-    When a caller of "small" asks "n1" for a prompt of parts "5c1e:3000,a1:20"
-    Then server "m1" was told to copy from nobody
-    When the VMs have told each other
-    And a caller of "small" asks "s1" for a prompt of parts "5c1e:3000,a2:20"
-    Then server "m9" was told to copy from "m1"
+    When a caller of "small" sends "n1" a prompt of parts "5c1e:3000,a1:20"
+    Then server "m1" got no address to copy from
+    When the VMs have exchanged status reports
+    And a caller of "small" sends "s1" a prompt of parts "5c1e:3000,a2:20"
+    Then server "m9" got the address of "m1" to copy from
 
-  Scenario: a prompt that can't be read before its deadline is refused at once
-    # A caller comes back with 400 ms left and a prompt whose reading alone takes a second. Sent on,
-    # its server would read for nothing, and the caller would hear of it at the deadline.
+  Scenario: a prompt whose prefill cannot end before its deadline is refused at once
+    # A caller retries with 400 ms left and a prompt whose prefill alone takes a second. If it were
+    # sent, the server would work in vain, and the caller would learn of it only at the deadline.
     Given a small gateway with a southern region
-    When a caller of "large" that waits 400 ms asks "n1" for a prompt of 40000 tokens
-    Then the caller gets 503 with a time to come back
-    And it got it within 150 ms
-    And no server got the prompt
+    When a caller of "large" with a deadline of 400 ms sends "n1" a prompt of 40000 tokens
+    Then the caller gets 503 with a retry-after time
+    And the response came within 150 ms
+    And no server received the prompt
 
-  Scenario: a region that refused a request is not asked again for it
-    # The caller's own region has no server that may be used. Two VMs of the other region share
-    # its only server, which is full: the second would ask the same one once more.
+  Scenario: a request is not sent again to a region that refused it
+    # The caller's own region has no usable server. Two VMs of the other region share its only
+    # server, which is full: the second VM would send the request to the same one.
     Given a small gateway with a southern region
-    And VM "s2" has started beside "s1"
+    And VM "s2" has started in the data centre of "s1"
     And server "b9" has fault "full" 9 times
     When the operator evacuates "north-1"
     And a caller of "small" asks "n1" for "/look/x"
-    Then the caller gets 503 with a time to come back
-    And server "b9" was asked 1 time
+    Then the caller gets 503 with a retry-after time
+    And server "b9" received 1 request
 
-  Scenario: callers that nothing can serve are told a later time the longer it lasts
-    # The only data centre with servers is evacuated for a while. Told the same short time, all
-    # callers would be back within the outage and have no further try.
+  Scenario: the retry-after time grows with the duration of an outage
+    # The only data centre with servers is evacuated for a while. With the same short time for all,
+    # all callers would retry within the outage and have no retry left.
     Given a small gateway
     When 2.3 s pass
     And the operator evacuates "north-1"
-    And a caller of "small" asks "n1" for "/look/x" waiting 9000 ms
-    Then the caller gets 503 and comes back after 0.3 to 0.4 s
+    And a caller of "small" asks "n1" for "/look/x" with a deadline of 9000 ms
+    Then the caller gets 503 with a retry-after time of 0.3 to 0.4 s
     When 1.2 s pass
-    And a caller of "small" asks "n1" for "/look/x" waiting 9000 ms
-    Then the caller gets 503 and comes back after 0.9 to 3.0 s
+    And a caller of "small" asks "n1" for "/look/x" with a deadline of 9000 ms
+    Then the caller gets 503 with a retry-after time of 0.9 to 3.0 s
 
-  Scenario: a full region tells when it will have room
+  Scenario: a full region reports when it expects free slots
     Given a small gateway with a southern region
     And server "b9" has fault "full" 9 times
     When the operator evacuates "north-1"
     And a caller of "small" asks "n1" for "/look/x"
-    Then the caller gets 503 with a time to come back
+    Then the caller gets 503 with a retry-after time
     And "n1" counts the refusal as "overloaded"
--- a/tests/gateway/reload.feature
+++ b/tests/gateway/reload.feature
@@ -1,19 +1,19 @@
 Feature: settings that change while the daemon runs
 
-  Scenario: a changed file is taken over with no signal, and nothing is cut
-    # The platform writes the file anew. A stream that runs meanwhile ends properly, and the
-    # new bounds hold from then on.
-    Given a daemon before a small gateway's store, started from a settings file
-    When its settings file says "repeat_allowance: 7" while a stream runs
-    Then within 5 s its repeats are bounded by 7
-    And the stream was whole with events 1 to 6
+  Scenario: a changed file is reloaded without a signal, and no request is cut off
+    # The platform writes the file again. A stream that runs meanwhile ends properly, and the new
+    # limits apply from then on.
+    Given a daemon of a small gateway, started from a settings file
+    When its settings file changes to "repeat_allowance: 7" while a stream runs
+    Then within 5 s its retry allowance is 7
+    And the stream was complete with events 1 to 6
 
-  Scenario: a file with faults changes nothing
-    Given a daemon before a small gateway's store, started from a settings file
-    When its settings file says "repeat_allowance: 'many'" and it reads it
-    Then its repeats are bounded by 40
+  Scenario: an invalid file changes nothing
+    Given a daemon of a small gateway, started from a settings file
+    When its settings file changes to "repeat_allowance: 'many'" and is reloaded
+    Then its retry allowance is 40
 
-  Scenario: what needs a restart is said and not half done
-    Given a daemon before a small gateway's store, started from a settings file
-    When its settings file says "callers: '127.0.0.1:1'" and it reads it
+  Scenario: a setting that needs a restart is not applied in part
+    Given a daemon of a small gateway, started from a settings file
+    When its settings file changes to "callers: '127.0.0.1:1'" and is reloaded
     Then it still serves callers
--- a/tests/gateway/watchers.feature
+++ b/tests/gateway/watchers.feature
@@ -1,32 +1,32 @@
-Feature: in a large data centre a few VMs watch the store and tell the others
+Feature: in a large data centre a few VMs watch the store and pass its changes to the others
 
   Background:
     Given a small gateway with VMs "n1, n2, n3, n4, n5, n6"
 
-  Scenario: two VMs watch, and a withdrawn key stops working at all
-    # Each change ends the waiting call of every watch, and calls are paid for.
+  Scenario: two VMs watch, and a revoked key stops working at every VM
+    # Each change ends the pending call of every watch, and calls are billed.
     When 2 VMs watch the store
-    And the key of "large" is withdrawn
+    And the key of "large" is revoked
     Then within 2 s a caller of "large" gets 401 from every VM
-    And the withdrawal cost at most 6 calls of watches
+    And the revocation took at most 6 watch calls
 
-  Scenario: the watchers crash while a key is withdrawn
-    # The others hear nothing more from them. They notice within about a second, and the next
-    # in order watch from where their own knowledge ends, without reading all anew.
+  Scenario: the watchers crash while a key is revoked
+    # The others receive no more reports from them. They notice within about a second, and the next
+    # VMs in order start to watch from their own revision, without reading all entries again.
     When 2 VMs watch the store
-    And both watchers crash and the key of "large" is withdrawn
-    Then within 4 s a caller of "large" gets 401 from every VM that is left
+    And both watchers crash and the key of "large" is revoked
+    Then within 4 s a caller of "large" gets 401 from every VM that still runs
 
   Scenario: the watchers lose the store while the others reach it
-    # The store turns the watchers away. They say that they don't follow it any more, and others
-    # take over. What these tell is taken by the former watchers too: left to their own attempts,
-    # they would let the key work for as long as they are turned away.
+    # The store rejects the watchers. They report that they no longer watch it, and others take
+    # over. The former watchers get the changes from these too: left to their own reads, they would
+    # accept the revoked key for as long as they are rejected.
     When 2 VMs watch the store
-    And the store turns both watchers away and the key of "large" is withdrawn
+    And the store rejects both watchers and the key of "large" is revoked
     Then within 4 s a caller of "large" gets 401 from every VM that reaches the store
     And within 4 s a caller of "large" gets 401 from every VM
 
-  Scenario: a VM that asks for changes which nobody keeps any more reads the store
+  Scenario: a VM that requests changes which no watcher keeps any more reads the store
     When 2 VMs watch the store
-    And the watchers have forgotten all changes and the key of "large" is withdrawn
+    And the watchers have dropped all changes and the key of "large" is revoked
     Then within 4 s a caller of "large" gets 401 from every VM
--- a/tests/steps/gateway/cut_off_steps.py
+++ b/tests/steps/gateway/cut_off_steps.py
@@ -6,83 +6,83 @@
 from hickorybeam.gateway.peers import Peer, PeerTable
 from hickorybeam.model.routing import GatewayVm
 
-WORD_EVERY_MS = 100
+REPORT_INTERVAL_MS = 100
 
 
-def vm_of(number, centres):
-    centre = number % centres
+def gateway_vm(number, data_centres):
+    data_centre = number % data_centres
     return GatewayVm(
         name=f"v{number}",
         incarnation="1",
-        region=f"r{centre // 2}",
-        data_centre=f"d{centre}",
+        region=f"r{data_centre // 2}",
+        data_centre=f"d{data_centre}",
         host="",
         caller_port=0,
         peer_port=0,
     )
 
 
-def table_of(clock, vms, me):
-    table = PeerTable(clock, me)
+def peer_table(clock, vms, own_vm):
+    table = PeerTable(clock, own_vm)
     for vm in vms:
-        if vm != me:
+        if vm != own_vm:
             table.by_name[vm.name] = Peer(vm, clock.now(), last_seen_ms=clock.now())
     return table
 
 
-@given("a fleet of {vms:d} VMs in {centres:d} data centres that hear each other")
+@given("a fleet of {vms:d} VMs in {centres:d} data centres that receive each other's reports")
 def step_fleet(context, vms, centres):
     context.clock = ManualClock(start=100_000)
-    context.vms = [vm_of(number, centres) for number in range(vms)]
+    context.vms = [gateway_vm(number, centres) for number in range(vms)]
 
 
-@when("{cut:d} of them are cut off")
-def step_cut(context, cut):
-    context.left = context.vms[cut:]
-    context.cut_table = table_of(context.clock, context.vms, context.vms[0])
-    context.left_table = table_of(context.clock, context.vms, context.left[0])
-    context.begun = context.clock.now()
+@when("{isolated:d} of them are isolated")
+def step_isolate(context, isolated):
+    context.others = context.vms[isolated:]
+    context.isolated_table = peer_table(context.clock, context.vms, context.vms[0])
+    context.others_table = peer_table(context.clock, context.vms, context.others[0])
+    context.began_ms = context.clock.now()
 
 
-def pass_to(context, ms):
-    """Let time pass, in which those that are left go on hearing each other."""
+def advance_to(context, ms):
+    """Advance the clock while the other VMs keep receiving each other's reports."""
 
     async def run():
-        while context.clock.now() < context.begun + ms:
-            await context.clock.advance(WORD_EVERY_MS)
-            for vm in context.left[1:]:
-                context.left_table.by_name[vm.name].last_seen_ms = context.clock.now()
+        while context.clock.now() < context.began_ms + ms:
+            await context.clock.advance(REPORT_INTERVAL_MS)
+            for vm in context.others[1:]:
+                context.others_table.by_name[vm.name].last_seen_ms = context.clock.now()
 
     context.call(run)
 
 
-@then("after {ms:d} ms each of these spends its own part only")
-def step_alone(context, ms):
-    assert context.cut_table.quota_peer_count() == len(context.vms) - 1
-    pass_to(context, ms)
-    assert context.cut_table.quota_peer_count() == 0
+@then("after {ms:d} ms each of these spends only its own share")
+def step_isolated_spend_own_share(context, ms):
+    assert context.isolated_table.quota_peer_count() == len(context.vms) - 1
+    advance_to(context, ms)
+    assert context.isolated_table.quota_peer_count() == 0
 
 
-@then("after {ms:d} ms those that are left spend their own parts only")
-def step_left(context, ms):
-    pass_to(context, ms)
-    assert context.left_table.quota_peer_count() == len(context.left) - 1
+@then("after {ms:d} ms the others spend only their own shares")
+def step_others_spend_own_share(context, ms):
+    advance_to(context, ms)
+    assert context.others_table.quota_peer_count() == len(context.others) - 1
 
 
 @when("all of them have just started")
-def step_started(context):
-    context.left = context.vms
-    context.left_table = table_of(context.clock, context.vms, context.vms[0])
-    context.begun = context.clock.now()
+def step_all_just_started(context):
+    context.others = context.vms
+    context.others_table = peer_table(context.clock, context.vms, context.vms[0])
+    context.began_ms = context.clock.now()
 
 
-@then("after {ms:d} ms none counts on another to place")
-def step_none_steady(context, ms):
-    pass_to(context, ms)
-    assert not context.left_table.stable_vms()
+@then("after {ms:d} ms none treats another as stable")
+def step_none_stable(context, ms):
+    advance_to(context, ms)
+    assert not context.others_table.stable_vms()
 
 
-@then("after {ms:d} ms each counts on all others of its region")
-def step_all_steady(context, ms):
-    pass_to(context, ms)
-    assert set(context.left_table.stable_vms()) == {it.name for it in context.vms[1:]}
+@then("after {ms:d} ms each treats all others of its region as stable")
+def step_all_stable(context, ms):
+    advance_to(context, ms)
+    assert set(context.others_table.stable_vms()) == {it.name for it in context.vms[1:]}
--- a/tests/steps/gateway/gateway_steps.py
+++ b/tests/steps/gateway/gateway_steps.py
@@ -29,51 +29,53 @@
     context.rig = context.stack.enter_context(context.portal.wrap_async_context_manager(manager))
 
 
-def names_of(text):
+def split_names(text):
     return tuple(name.strip() for name in text.split(","))
 
 
 @given("a small gateway")
-def step_small(context):
+def step_small_gateway(context):
     start(context)
 
 
 @given('a small gateway with servers "{servers}"')
-def step_servers(context, servers):
-    start(context, servers=tuple(tuple(name.split(":")) for name in names_of(servers)))
+def step_gateway_servers(context, servers):
+    start(context, servers=tuple(tuple(name.split(":")) for name in split_names(servers)))
 
 
 @given("a small gateway with a southern region")
-def step_south(context):
+def step_southern_region(context):
     start(context, south=True)
 
 
-@given("a small gateway with a southern region, whose VMs may take {grace:g} s to stop")
-def step_south_grace(context, grace):
+@given("a small gateway with a southern region, whose VMs have a grace period of {grace:g} s")
+def step_grace_period(context, grace):
     start(context, south=True, grace_s=grace)
 
 
 @given('a small gateway with a southern region and VMs "{vms}"')
-def step_south_vms(context, vms):
-    start(context, south=True, vms=names_of(vms))
+def step_southern_region_vms(context, vms):
+    start(context, south=True, vms=split_names(vms))
 
 
 @given('a small gateway with VMs "{vms}"')
-def step_vms(context, vms):
-    start(context, vms=names_of(vms))
+def step_gateway_vms(context, vms):
+    start(context, vms=split_names(vms))
 
 
 @given("a gateway without a configuration")
-def step_bare(context):
+def step_no_configuration(context):
     @asynccontextmanager
-    async def bare():
+    async def without_configuration():
         async with start_platform_fleet() as fleet:
             fleet.app.delete("op/config")
             await fleet.add_server("b1", "books", "north-1")
             await fleet.add_vm("n1", "north-1")
             yield fleet
 
-    context.rig = context.stack.enter_context(context.portal.wrap_async_context_manager(bare()))
+    context.rig = context.stack.enter_context(
+        context.portal.wrap_async_context_manager(without_configuration())
+    )
 
 
 @given('server "{name}" hangs on the next request')
@@ -87,7 +89,7 @@
 
 
 @given('every server of "{service}" has fault "{fault}" once')
-def step_fault_all(context, service, fault):
+def step_fault_every_server(context, service, fault):
     for server in context.rig.servers.values():
         if server.service == service:
             setattr(server.faults, fault, 1)
@@ -99,7 +101,7 @@
 
 
 @given('account "{name}" may spend {rate:d} tokens a second with a burst of {burst:d}')
-def step_rate(context, name, rate, burst):
+def step_account_rate(context, name, rate, burst):
     async def change():
         rig = context.rig
         for terms in rig.config["tenants"]:
@@ -108,7 +110,7 @@
         rig.config["version"] += 1
         rig.configure()
         await rig.settled()
-        # An account's bucket starts empty; let it fill, so that the burst is there to spend.
+        # An account's bucket starts empty; wait until it holds the burst.
         await anyio.sleep(burst / rate + 0.1)
 
     context.call(change)
@@ -124,8 +126,8 @@
     ask(context, vm, path, key=key)
 
 
-@when('a caller of "{key}" asks "{vm}" for "{path}" waiting {ms:d} ms')
-def step_ask_waiting(context, key, vm, path, ms):
+@when('a caller of "{key}" asks "{vm}" for "{path}" with a deadline of {ms:d} ms')
+def step_ask_with_deadline(context, key, vm, path, ms):
     ask(context, vm, path, key=key, wait_ms=ms)
 
 
@@ -135,12 +137,12 @@
 
 
 @when('a caller of "{key}" asks "{vm}" for "{path}" with a body of {size:d} bytes')
-def step_big(context, key, vm, path, size):
+def step_large_body(context, key, vm, path, size):
     ask(context, vm, path, key=key, method="POST", body=b"x" * size)
 
 
 @when('a caller of "{key}" asks "{vm}" for "{path}" with forged headers')
-def step_forged(context, key, vm, path):
+def step_forged_headers(context, key, vm, path):
     forged = (
         (b"x-hickorybeam-tenant", b"large"),
         (b"X-HickoryBeam-Tenant", b"large"),
@@ -177,7 +179,7 @@
 
 
 @when('a caller sends "{vm}" a request framed by "{framing}"')
-def step_framed(context, vm, framing):
+def step_ambiguous_framing(context, vm, framing):
     lines = "\r\n".join(line.strip() for line in framing.split(";"))
     hidden = f"GET /look/hidden HTTP/1.1\r\nHost: {HOST}\r\n\r\n"
     data = f"POST /look/x HTTP/1.1\r\nHost: {HOST}\r\n{lines}\r\n\r\n0\r\n\r\n{hidden}"
@@ -186,7 +188,7 @@
 
 
 @when('a caller sends "{vm}" two requests in one packet')
-def step_two(context, vm):
+def step_two_requests(context, vm):
     async def both():
         key = KEYS["small"]
         requests = [
@@ -197,25 +199,25 @@
         stream = await anyio.connect_tcp("127.0.0.1", context.rig.vms[vm].ports.callers)
         async with stream:
             await stream.send("".join(requests).encode())
-            seen = b""
+            received = b""
             with anyio.fail_after(8):
                 while True:
                     try:
-                        seen += await stream.receive()
+                        received += await stream.receive()
                     except anyio.EndOfStream:
-                        return seen
+                        return received
 
-    context.seen = context.call(both)
+    context.received = context.call(both)
 
 
-@then("both answers come in order")
-def step_in_order(context):
-    assert context.seen.count(b"HTTP/1.1 200 OK") == 2, context.seen
-    assert context.seen.index(b"two-1") < context.seen.index(b"two-2")
+@then("both responses arrive in order")
+def step_responses_in_order(context):
+    assert context.received.count(b"HTTP/1.1 200 OK") == 2, context.received
+    assert context.received.index(b"two-1") < context.received.index(b"two-2")
 
 
-@when('a caller sends "{vm}" half a head and waits')
-def step_half(context, vm):
+@when('a caller sends "{vm}" an incomplete request head and waits')
+def step_incomplete_head(context, vm):
     port = context.rig.vms[vm].ports.callers
     context.reply = context.call(context.rig.exchange, port, b"GET /look/x HTTP/1.1\r\nHost:")
 
@@ -225,8 +227,8 @@
     ask(context, vm, path, key=key, method="POST", body=BODY, tokens=b"50,10")
 
 
-@when('a caller of "{key}" opens a stream "{path}" at "{vm}" and leaves')
-def step_leave(context, key, path, vm):
+@when('a caller of "{key}" opens a stream "{path}" at "{vm}" and disconnects')
+def step_disconnect(context, key, path, vm):
     async def leave():
         with anyio.move_on_after(0.15):
             await context.rig.call(vm, path, key=key, method="POST", body=BODY, tokens=b"50,10")
@@ -234,8 +236,8 @@
     context.call(leave)
 
 
-@then('server "{name}" has ended that run')
-def step_run_ended(context, name):
+@then('server "{name}" has cancelled that request')
+def step_request_cancelled(context, name):
     server = context.rig.servers[name]
     context.call(context.rig.until, lambda: server.cancelled == 1 and server.running == 0)
 
@@ -248,51 +250,51 @@
 
 
 @then("the caller gets {status:d}")
-def step_gets(context, status):
+def step_gets_status(context, status):
     assert context.reply.status == status, (context.reply.status, context.reply.body)
 
 
-@then("the caller gets {status:d} with a time to come back")
-def step_gets_retry(context, status):
+@then("the caller gets {status:d} with a retry-after time")
+def step_gets_retry_after(context, status):
     assert context.reply.status == status, context.reply.status
     assert context.reply.retry_after is not None
     assert context.reply.retry_after > 0
 
 
-@then("the caller gets 200 or is told when to come back")
-def step_200_or_retry(context):
+@then("the caller gets 200 or a retry-after time")
+def step_200_or_retry_after(context):
     reply = context.reply
     assert reply.status == 200 or (reply.status == 503 and reply.retry_after > 0), reply.status
 
 
 @then("each caller gets {status:d}")
-def step_each(context, status):
+def step_each_gets_status(context, status):
     found = [reply.status for reply in context.replies]
     assert found == [status] * len(found), found
 
 
-@then("no server ran anything")
-def step_none_ran(context):
+@then("no server executed a request")
+def step_nothing_executed(context):
     assert ran(context.rig) == []
 
 
-@then('"{service}" ran {count:d} requests')
-def step_ran(context, service, count):
+@then('servers of "{service}" executed {count:d} requests')
+def step_executed_by_service(context, service, count):
     assert len(ran(context.rig, service)) == count, ran(context.rig, service)
 
 
-@then('server "{name}" ran {count:d} requests')
-def step_server_ran(context, name, count):
+@then('server "{name}" executed {count:d} requests')
+def step_executed_by_server(context, name, count):
     assert len(context.rig.servers[name].ran) == count
 
 
-@then('server "{name}" ran at most {count:d} requests')
-def step_server_ran_most(context, name, count):
+@then('server "{name}" executed at most {count:d} requests')
+def step_executed_at_most(context, name, count):
     assert len(context.rig.servers[name].ran) <= count, len(context.rig.servers[name].ran)
 
 
-@then('the server was told account "{name}" once and no key')
-def step_told(context, name):
+@then('the server got account "{name}" once and no key')
+def step_account_header(context, name):
     headers = ran(context.rig)[0].headers
     told = [value for key, value in headers if key == b"x-hickorybeam-tenant"]
     assert told == [name.encode()], told
@@ -306,17 +308,17 @@
     return [int(line[4:]) for line in reply.body.split(b"\n") if line.startswith(b"id: ")]
 
 
-@then("the stream is whole with events {first:d} to {last:d}")
-@then("the stream was whole with events {first:d} to {last:d}")
-def step_whole(context, first, last):
+@then("the stream is complete with events {first:d} to {last:d}")
+@then("the stream was complete with events {first:d} to {last:d}")
+def step_stream_complete(context, first, last):
     reply = context.stream if hasattr(context, "stream") else context.reply
     assert reply.whole, reply.body
     assert events_of(reply) == list(range(first, last + 1)), reply.body
 
 
-@then("the stream breaks off or is whole without a gap")
-def step_no_gap(context):
-    # Both servers break off once; with two attempts the second break ends the stream.
+@then("the stream breaks off or is complete, without a gap")
+def step_stream_without_gap(context):
+    # Each server breaks off once; with two attempts, the second break ends the stream.
     found = events_of(context.reply)
     assert found == list(range(1, len(found) + 1)), found
     assert b"da\n" not in context.reply.body
@@ -324,7 +326,7 @@
 
 
 @then("the stream breaks off without a proper end")
-def step_broken(context):
+def step_stream_breaks_off(context):
     assert not context.reply.whole
 
 
@@ -334,36 +336,42 @@
         rig = context.rig
         rig.app.put(f"op/evacuate/{data_centre}", b"{}")
         await rig.until(
-            lambda: all(data_centre in vm.routing_state.evacuated_data_centres for vm in rig.vms.values())
+            lambda: all(
+                data_centre in vm.routing_state.evacuated_data_centres for vm in rig.vms.values()
+            )
         )
 
     context.call(evacuate)
 
 
-@when('the operator takes "{data_centre}" back')
-def step_take_back(context, data_centre):
-    async def back():
+@when('the operator ends the evacuation of "{data_centre}"')
+def step_end_evacuation(context, data_centre):
+    async def end_evacuation():
         rig = context.rig
         rig.app.delete(f"op/evacuate/{data_centre}")
-        await rig.until(lambda: not any(vm.routing_state.evacuated_data_centres for vm in rig.vms.values()))
+        await rig.until(
+            lambda: not any(vm.routing_state.evacuated_data_centres for vm in rig.vms.values())
+        )
 
-    context.call(back)
+    context.call(end_evacuation)
 
 
-@when('server "{name}" says that it is leaving')
-def step_leaving(context, name):
+@when('server "{name}" registers as leaving')
+def step_server_leaving(context, name):
     async def leaving():
         rig = context.rig
         rig.servers[name].register(state="draining")
         await rig.until(
-            lambda: all(vm.routing_state.server_states[name].server.leaving for vm in rig.vms.values())
+            lambda: all(
+                vm.routing_state.server_states[name].server.leaving for vm in rig.vms.values()
+            )
         )
 
     context.call(leaving)
 
 
-@when('server "{name}" starts anew and is cold for {ms:d} ms')
-def step_cold(context, name, ms):
+@when('server "{name}" restarts and is cold for {ms:d} ms')
+def step_restart_cold(context, name, ms):
     async def cold():
         rig = context.rig
         rig.servers[name].register(cold_ms=ms, born=77)
@@ -376,12 +384,12 @@
     context.call(cold)
 
 
-@when("the store gets foreign entries for servers")
-def step_foreign(context):
-    async def foreign():
+@when("another writer puts invalid server entries into the store")
+def step_invalid_entries(context):
+    async def put_entries():
         rig = context.rig
-        good = msgspec.json.encode({"service": "books", "zone": "north-1"})
-        for number, value in enumerate((b"\xff\xfe", b"[]", b"{}", good, b'{"address": 7}')):
+        incomplete = msgspec.json.encode({"service": "books", "zone": "north-1"})
+        for number, value in enumerate((b"\xff\xfe", b"[]", b"{}", incomplete, b'{"address": 7}')):
             rig.app.put(f"servers/f-{number}", value)
         rig.app.put(
             "servers/other",
@@ -392,7 +400,7 @@
         rig.configure()
         await rig.settled()
 
-    context.call(foreign)
+    context.call(put_entries)
 
 
 @when(
@@ -415,13 +423,13 @@
     context.replies = [context.reply]
 
 
-@when("the store goes silent")
-def step_silent(context):
+@when("the store stops responding")
+def step_store_unresponsive(context):
     context.rig.app.silent = True
 
 
-@when('the operator withdraws the key of "{name}" in version {version:d}')
-def step_withdraw(context, name, version):
+@when('the operator revokes the key of "{name}" in version {version:d}')
+def step_revoke_key(context, name, version):
     async def withdraw():
         rig = context.rig
         withdraw_key(rig, name, version=version)
@@ -431,7 +439,7 @@
 
 
 @when('an older configuration, of version {version:d}, reaches "{vm}"')
-def step_older(context, version, vm):
+def step_older_configuration(context, version, vm):
     async def older():
         config = {**first_config(), "version": version}
         item = KeyValue("op/config", msgspec.json.encode(config), 1_000_000)
@@ -440,13 +448,13 @@
     context.call(older)
 
 
-@when('the history is dropped while the key of "{name}" is withdrawn')
-def step_compact(context, name):
+@when('the store compacts its history while the key of "{name}" is revoked')
+def step_compact_history(context, name):
     async def compact():
         rig = context.rig
         store = rig.app.stand_in.store
         drop_key(rig, name)
-        # Written with no word to the watches, as while they hear nothing.
+        # Written without notifying the watches, as if their connections were broken.
         store.txn((), (Put("op/config", msgspec.json.encode(rig.config)),))
         store.compact()
         rig.app.stand_in.notify()
@@ -456,9 +464,9 @@
 
 
 @when('VM "{name}" starts with "{seed}" as its seed')
-def step_start_seed(context, name, seed):
+def step_start_with_seed(context, name, seed):
     rig = context.rig
-    # Another address of the same machine: a VM doesn't ask itself.
+    # Another address of the same machine, since a VM skips seeds with its own address.
     address = f"localhost:{rig.vms[seed].ports.state}"
     manager = rig.vm(name, "north-1", seeds=(address,))
     vm = context.stack.enter_context(context.portal.wrap_async_context_manager(manager))
@@ -472,35 +480,35 @@
     assert reply.status == 503
 
 
-@when('the store goes out and loses the entry of "{name}"')
-def step_lapse(context, name):
-    async def lapse():
+@when('the store becomes unavailable and the entry of "{name}" expires')
+def step_outage_and_expiry(context, name):
+    async def expire():
         rig = context.rig
         rig.app.stand_in.faults.set_out(True)
         vms = rig.vms.values()
         await rig.until(lambda: not any(vm.feed._store_reachable for vm in vms))
         rig.servers[name].withdraw()
 
-    context.call(lapse)
+    context.call(expire)
 
 
-@when("the store goes out and is known to be out")
-def step_known_out(context):
-    async def out():
+@when("the store becomes unavailable and every VM has noticed")
+def step_outage_noticed(context):
+    async def fail():
         rig = context.rig
         rig.app.stand_in.faults.set_out(True)
         await rig.until(lambda: not any(vm.feed.watches_store for vm in rig.vms.values()))
 
-    context.call(out)
+    context.call(fail)
 
 
 @when('server "{name}" turns cold for {ms:d} ms')
-def step_turns_cold(context, name, ms):
+def step_server_turns_cold(context, name, ms):
     context.rig.servers[name].cold_ms = ms
 
 
 @then('within {limit:d} s every VM knows that server "{name}" is cold')
-def step_known_cold(context, limit, name):
+def step_cold_server_known(context, limit, name):
     clock, vms = SystemClock(), context.rig.vms.values()
 
     async def known():
@@ -511,30 +519,32 @@
     context.call(known)
 
 
-@then("no VM has asked a server for its health")
-def step_not_asked(context):
+@then("no VM has sent a health check")
+def step_no_health_check(context):
     assert not any(server.health_questions for server in context.rig.servers.values())
 
 
-@when("the store is back")
-def step_back(context):
-    async def back():
+@when("the store is available again")
+def step_store_available(context):
+    async def recover():
         rig = context.rig
         rig.app.stand_in.faults.set_out(False)
         await rig.until(lambda: all(vm.feed._store_reachable for vm in rig.vms.values()))
 
-    context.call(back)
+    context.call(recover)
 
 
-@then('"{vm}" drops server "{name}" within {limit:d} s')
-def step_drops(context, vm, name, limit):
+@then('"{vm}" removes server "{name}" within {limit:d} s')
+def step_server_removed(context, vm, name, limit):
     routing_state = context.rig.vms[vm].routing_state
-    context.call(lambda: context.rig.until(lambda: name not in routing_state.server_states, limit_s=limit))
+    context.call(
+        lambda: context.rig.until(lambda: name not in routing_state.server_states, limit_s=limit)
+    )
 
 
-@when('the registration of "{vm}" lapses')
-def step_registration(context, vm):
-    async def lapse():
+@when('the registration of "{vm}" expires')
+def step_registration_expires(context, vm):
+    async def expire():
         rig = context.rig
         store = rig.app.stand_in.store
         registration = rig.vms[vm].fleet._registration
@@ -543,11 +553,11 @@
         assert not store.read(f"hickorybeam/vm/{vm}").items
         rig.app.stand_in.notify()
 
-    context.call(lapse)
+    context.call(expire)
 
 
 @then('"{vm}" is registered again within {limit:d} s')
-def step_registered(context, vm, limit):
+def step_registered_again(context, vm, limit):
     store = context.rig.app.stand_in.store
     context.call(
         lambda: context.rig.until(
@@ -556,7 +566,7 @@
     )
 
 
-async def directory_answer_of(rig, vm, region):
+async def directory_response(rig, vm, region):
     path = f"/resolution?name={HOST}&region={region}&zone=z"
     data = request_bytes("GET", path.encode(), ((b"host", b"x"),), b"")
     reply = await rig.exchange(rig.vms[vm].ports.directory, data)
@@ -564,7 +574,7 @@
 
 
 async def directory(rig, vm, region):
-    found = (await directory_answer_of(rig, vm, region))["addresses"]
+    found = (await directory_response(rig, vm, region))["addresses"]
     ports = {
         f"127.0.0.1:{it.ports.callers}": name
         for name, it in rig.vms.items()
@@ -573,15 +583,15 @@
     return sorted(ports.get(address, address) for address in found)
 
 
-@then('the directory of "{vm}" names "{names}" for region "{region}"')
+@then('the directory of "{vm}" lists "{names}" for region "{region}"')
 def step_directory(context, vm, names, region):
     found = context.call(directory, context.rig, vm, region)
-    assert found == list(names_of(names)), found
+    assert found == list(split_names(names)), found
 
 
-@then('the directory of "{vm}" answers for at most {seconds:g} s')
-def step_directory_time(context, vm, seconds):
-    assert context.call(directory_answer_of, context.rig, vm, "north")["ttl-s"] <= seconds
+@then('a directory response of "{vm}" is valid for at most {seconds:g} s')
+def step_directory_validity(context, vm, seconds):
+    assert context.call(directory_response, context.rig, vm, "north")["ttl-s"] <= seconds
 
 
 @when('VM "{name}" crashes')
@@ -594,19 +604,21 @@
     context.call(crash)
 
 
-@then('within {limit:d} s the directory of "{vm}" names "{names}" for region "{region}"')
-def step_directory_soon(context, limit, vm, names, region):
-    async def soon():
+@then('within {limit:d} s the directory of "{vm}" lists "{names}" for region "{region}"')
+def step_directory_within(context, limit, vm, names, region):
+    async def wait_for_listing():
         with anyio.fail_after(limit):
-            while await directory(context.rig, vm, region) != list(names_of(names)):
+            while await directory(context.rig, vm, region) != list(split_names(names)):
                 await anyio.sleep(0.05)
 
-    context.call(soon)
+    context.call(wait_for_listing)
 
 
-@when('callers of "{key}" ask both VMs for {tokens:d} tokens every {ms:d} ms for {seconds:d} s')
-def step_flood(context, key, tokens, ms, seconds):
-    async def flood():
+@when(
+    'callers of "{key}" request {tokens:d} tokens from both VMs every {ms:d} ms for {seconds:d} s'
+)
+def step_request_tokens(context, key, tokens, ms, seconds):
+    async def send_requests():
         rig = context.rig
         context.replies = []
         context.tokens = tokens
@@ -624,75 +636,75 @@
                     tg.start_soon(one, vm)
                 await anyio.sleep(ms / 1000)
 
-    context.call(flood)
+    context.call(send_requests)
 
 
-@then('at most {limit:d} tokens of "{name}" ran')
-def step_spent(context, limit, name):
+@then('servers executed requests of "{name}" for at most {limit:d} tokens')
+def step_tokens_executed(context, limit, name):
     name_header = (b"x-hickorybeam-tenant", name.encode())
-    of_account = [it for it in ran(context.rig, "model") if name_header in it.headers]
-    spent = len(of_account) * context.tokens
+    executed = [it for it in ran(context.rig, "model") if name_header in it.headers]
+    spent = len(executed) * context.tokens
     assert 0 < spent <= limit, spent
 
 
-@then("refused callers were told when to come back")
-def step_told_when(context):
+@then("refused callers got a retry-after time")
+def step_refused_retry_after(context):
     refused = [reply for reply in context.replies if reply.status == 429]
     assert refused
     assert all(reply.retry_after > 0 for reply in refused)
 
 
-@when('VM "{name}" is stopped while a stream runs there and callers keep asking')
-def step_stop(context, name):
+@when('VM "{name}" is stopped while it relays a stream and callers keep sending requests')
+def step_stop_vm(context, name):
     async def stop():
         rig = context.rig
         vm = rig.vms[name]
-        context.replies, context.unconnected = [], 0
+        context.replies, context.failed_connections = [], 0
 
         async def stream():
             context.stream = await rig.call(
                 name, "/chat/x", method="POST", body=BODY, tokens=b"50,10"
             )
 
-        async def ask_on():
+        async def keep_asking():
             while not vm.ended.is_set():
                 try:
                     context.replies.append(await rig.call(name, "/look/x"))
                 except Exception:
-                    context.unconnected += 1
+                    context.failed_connections += 1
                 await anyio.sleep(0.03)
 
         async with anyio.create_task_group() as tg:
             tg.start_soon(stream)
             await anyio.sleep(0.1)
-            tg.start_soon(ask_on)
+            tg.start_soon(keep_asking)
             vm.kernel.stop()
             await vm.ended.wait()
 
     context.call(stop)
 
 
-@then("every other caller got 200, or 503 with a time to come back, or was not read")
-def step_stopped(context):
-    answered = 0
+@then("every other caller got 200, or 503 with a retry-after time, or was disconnected unread")
+def step_no_request_cut_off(context):
+    served = 0
     for reply in context.replies:
         unread = reply.status == 0 and not reply.whole
         refused = reply.status == 503 and reply.retry_after is not None
         assert unread or refused or (reply.status == 200 and reply.whole), reply.status
-        answered += reply.status == 200
-    # What ran was answered: no connection was closed on a request that a server had.
-    assert answered > 0
-    assert len(ran(context.rig, "books")) == answered
+        served += reply.status == 200
+    # Every executed request was answered: no connection was closed on one that a server had.
+    assert served > 0
+    assert len(ran(context.rig, "books")) == served
 
 
-@when('a caller of "{key}" asks "{vm}" for a prompt of parts "{parts}"')
-def step_prompt(context, key, vm, parts):
+@when('a caller of "{key}" sends "{vm}" a prompt of parts "{parts}"')
+def step_prompt_of_parts(context, key, vm, parts):
     more = ((b"x-hickorybeam-prompt-prefix", parts.encode()), (b"kv-fetch", b"127.0.0.1:9"))
     ask(context, vm, "/plan/x", key=key, method="POST", body=BODY, tokens=b"3020,10", more=more)
     assert context.reply.status == 200
 
 
-@when('a caller of "{key}" that waits {ms:d} ms asks "{vm}" for a prompt of {tokens:d} tokens')
+@when('a caller of "{key}" with a deadline of {ms:d} ms sends "{vm}" a prompt of {tokens:d} tokens')
 def step_long_prompt(context, key, ms, vm, tokens):
     more = ((b"x-hickorybeam-prompt-prefix", b"a1:%d" % tokens),)
     options = {"wait_ms": ms, "tokens": b"%d,10" % tokens, "more": more}
@@ -701,55 +713,55 @@
     context.took_ms = (time.monotonic() - context.began) * 1000
 
 
-@then("it got it within {ms:d} ms")
-def step_got_within(context, ms):
+@then("the response came within {ms:d} ms")
+def step_response_within(context, ms):
     assert context.took_ms < ms, context.took_ms
 
 
-@then("no server got the prompt")
-def step_no_server(context):
+@then("no server received the prompt")
+def step_prompt_not_received(context):
     assert not ran(context.rig, "model")
     assert not any(it.arrivals for it in context.rig.servers.values() if it.service == "model")
 
 
-@when("the VMs have told each other")
-def step_told_other(context):
+@when("the VMs have exchanged status reports")
+def step_reports_exchanged(context):
     vm = context.rig.vms["s1"]
     context.call(context.rig.until, lambda: vm.fleet.prefix_holders._holders)
 
 
-def copied_from(context, server):
+def copy_addresses(context, server):
     headers = context.rig.servers[server].ran[-1].headers
     return [value.decode() for key, value in headers if key == b"kv-fetch"]
 
 
-@then('server "{server}" was told to copy from nobody')
-def step_no_copy(context, server):
-    assert copied_from(context, server) == []
+@then('server "{server}" got no address to copy from')
+def step_no_copy_address(context, server):
+    assert copy_addresses(context, server) == []
 
 
-@then('server "{server}" was told to copy from "{other}"')
-def step_copy(context, server, other):
+@then('server "{server}" got the address of "{other}" to copy from')
+def step_copy_address(context, server, other):
     wanted = f"127.0.0.1:{context.rig.servers[other].port}"
-    assert copied_from(context, server) == [wanted]
+    assert copy_addresses(context, server) == [wanted]
 
 
-@when('the watch of "{vm}" goes silent and the key of "{name}" is withdrawn')
-def step_watch_silent(context, vm, name):
-    async def silence():
+@when('the watch of "{vm}" silently breaks and the key of "{name}" is revoked')
+def step_watch_breaks(context, vm, name):
+    async def break_watch():
         rig = context.rig
-        # New watches work: the one that waits now hears nothing more.
+        # Only the pending watch is broken; new ones work.
         rig.app.deaf_watches = 1
         rig.vms[vm].feed._follow_scope.cancel()
         await rig.until(lambda: rig.app.deaf_watches == 0)
         withdraw_key(rig, name)
 
-    context.call(silence)
+    context.call(break_watch)
 
 
-@when('a call of "{vm}" finds the store silent and the next one works')
-def step_silent_for_one(context, vm):
-    async def calls():
+@when('a call of "{vm}" gets no response from the store and the next one succeeds')
+def step_call_fails_then_succeeds(context, vm):
+    async def call_twice():
         rig = context.rig
         store = rig.vms[vm].feed._store
         rig.app.silent = True
@@ -762,7 +774,7 @@
         rig.app.silent = False
         await store.read("a")
 
-    context.call(calls)
+    context.call(call_twice)
 
 
 @when('a caller of "{key}" asks "{vm}" for "{path}" within {limit:d} s of that')
@@ -775,8 +787,8 @@
     ask(context, vm, path, key=key)
 
 
-@given("a daemon before a small gateway's store, started from a settings file")
-def step_file_daemon(context):
+@given("a daemon of a small gateway, started from a settings file")
+def step_settings_file(context):
     start(context, vms=("n1",))
     rig = context.rig
     folder = context.stack.enter_context(tempfile.TemporaryDirectory())
@@ -801,8 +813,8 @@
     return context.rig.vms["n1"].relay._handler._cfg.repeat_allowance
 
 
-@when('its settings file says "{line}" while a stream runs')
-def step_changed_running(context, line):
+@when('its settings file changes to "{line}" while a stream runs')
+def step_settings_change_while_streaming(context, line):
     async def change():
         rig = context.rig
         rig.servers["m1"].work_ms = 200
@@ -825,19 +837,19 @@
     context.call(change)
 
 
-@when('its settings file says "{line}" and it reads it')
-def step_changed(context, line):
+@when('its settings file changes to "{line}" and is reloaded')
+def step_settings_reloaded(context, line):
     write_settings(context, line)
     context.call(context.file.reload)
 
 
-@then("within {limit:d} s its repeats are bounded by {allowance:d}")
-def step_bounded_soon(context, limit, allowance):
+@then("within {limit:d} s its retry allowance is {allowance:d}")
+def step_allowance_within(context, limit, allowance):
     assert allowance_of(context) == allowance
 
 
-@then("its repeats are bounded by {allowance:d}")
-def step_bounded(context, allowance):
+@then("its retry allowance is {allowance:d}")
+def step_allowance(context, allowance):
     assert allowance_of(context) == allowance
 
 
@@ -854,13 +866,13 @@
     context.reply = context.call(context.rig.exchange, port, raw)
 
 
-@when('"{vm}" is asked for "{path}" by a caller of "{key}" that would like "{protocol}"')
+@when('"{vm}" gets a request for "{path}" with an upgrade to "{protocol}" from a caller of "{key}"')
 def step_upgrade(context, vm, path, key, protocol):
-    # The caller's own connection header is written by hand: the rig's writer frames anew.
+    # Written by hand, since the rig's request writer sets its own connection header.
     headers = caller_headers("0123456789abcdef", key=key, wait_ms=2_000)
     lines = b"".join(b"%s: %s\r\n" % pair for pair in headers)
-    wish = f"Connection: Upgrade\r\nUpgrade: {protocol}\r\n".encode()
-    raw = f"GET {path} HTTP/1.1\r\n".encode() + lines + wish + b"\r\n"
+    upgrade = f"Connection: Upgrade\r\nUpgrade: {protocol}\r\n".encode()
+    raw = f"GET {path} HTTP/1.1\r\n".encode() + lines + upgrade + b"\r\n"
     context.reply = context.call(context.rig.exchange, context.rig.vms[vm].ports.callers, raw)
 
 
@@ -878,26 +890,28 @@
     context.call(send)
 
 
-@when('the peers\' port of "{vm}" gets a handed-over request without a limit')
-@when('the peers\' port of "{vm}" gets a handed-over request with limit "{limit}"')
-def step_bad_hop(context, vm, limit=None):
+@when('the peers\' port of "{vm}" gets a forwarded request without a time left')
+@when('the peers\' port of "{vm}" gets a forwarded request with a time left "{time_left}"')
+def step_invalid_forwarded_request(context, vm, time_left=None):
     headers = [(b"host", b"x"), (b"hop-service", b"books")]
-    if limit is not None:
-        headers.append((b"hop-left-ms", limit.encode()))
+    if time_left is not None:
+        headers.append((b"hop-left-ms", time_left.encode()))
     data = request_bytes("GET", b"/look/x", tuple(headers), b"")
     reply = context.call(context.rig.exchange, context.rig.vms[vm].ports.peers, data)
     assert reply.status == 404, reply.status
 
 
-@then('"{vm}" still hears {count:d} VMs')
-def step_hears(context, vm, count):
+@then('"{vm}" still counts {count:d} live VMs')
+def step_live_vms(context, vm, count):
     fleet = context.rig.vms[vm].fleet
     context.call(context.rig.until, lambda: fleet.live_vm_count() == count)
 
 
-@given('a small gateway over data centres with VMs "{first}" and "{second}" and a southern region')
-def step_centres(context, first, second):
-    start(context, vms=names_of(first), second=names_of(second), south=True)
+@given(
+    'a small gateway with VMs "{first}" and "{second}" in two data centres and a southern region'
+)
+def step_two_data_centres(context, first, second):
+    start(context, vms=split_names(first), second=split_names(second), south=True)
 
 
 @when('a caller of "{key}" spends {tokens:d} tokens at "{vm}"')
@@ -909,10 +923,10 @@
 @then('within {limit:d} s every VM has charged {tokens:d} tokens of "{name}" to "{vm}"')
 def step_charged(context, limit, tokens, name, vm):
     rig = context.rig
-    life = f"{vm}/{rig.vms[vm].fleet.own_vm.incarnation}"
+    incarnation = f"{vm}/{rig.vms[vm].fleet.own_vm.incarnation}"
 
     def charged(other):
-        known = other.fleet.quota._peers.get(life)
+        known = other.fleet.quota._peers.get(incarnation)
         return known is not None and known.totals.get(name) == tokens
 
     others = [other for other_name, other in rig.vms.items() if other_name != vm]
@@ -923,31 +937,32 @@
 def step_task_crashes(context, vm):
     async def crash():
         rig = context.rig
-        found = rig.vms[vm]
-        context.ports = found.ports
-        path, forecasts = found.relay._handler, found.relay._handler.forecasts
+        crashed = rig.vms[vm]
+        context.ports = crashed.ports
+        handler, forecasts = crashed.relay._handler, crashed.relay._handler.forecasts
 
         def fail():
-            path.forecasts = forecasts
-            raise RuntimeError("a fault of our own")
+            handler.forecasts = forecasts
+            raise RuntimeError("injected fault")
 
-        path.forecasts = fail
-        await rig.until(lambda: found.kernel.restarts.get("relay") == 1)
+        handler.forecasts = fail
+        await rig.until(lambda: crashed.kernel.restarts.get("relay") == 1)
 
     context.call(crash)
 
 
-@when('a caller of "{key}" asks "{vm}" for "{path}" once it is back')
+@when('a caller of "{key}" asks "{vm}" for "{path}" after its restart')
 def step_once_back(context, key, vm, path):
-    found = context.rig.vms[vm]
+    restarted = context.rig.vms[vm]
     context.call(
-        context.rig.until, lambda: bool(found.relay._servers) and found.ports == context.ports
+        context.rig.until,
+        lambda: bool(restarted.relay._servers) and restarted.ports == context.ports,
     )
     ask(context, vm, path, key=key)
 
 
-@when('VM "{name}" begins to leave')
-def step_begins(context, name):
+@when('VM "{name}" begins to shut down')
+def step_shutdown_begins(context, name):
     async def begin():
         rig = context.rig
         rig.vms[name].kernel.stop()
@@ -958,30 +973,30 @@
 
 
 @then(
-    'a caller of "{key}" that waits {ms:d} ms gets {status:d} for "{path}"'
-    ' once "{vm}" takes only what ends'
+    'a caller of "{key}" with a deadline of {ms:d} ms gets {status:d} for "{path}"'
+    ' once "{vm}" accepts only what ends in time'
 )
-def step_gets_late(context, key, ms, status, path, vm):
-    # Of the 4 s that it may take, from 1.2 s to 2 s it takes what ends before 3.6 s, then nothing.
+def step_ask_during_shutdown(context, key, ms, status, path, vm):
+    # Of its grace period of 4 s, it accepts what ends before 3.6 s from 1.2 s to 2 s, then nothing.
     admission = context.rig.vms[vm].relay._handler._admission
     options = {"method": "POST", "body": BODY, "tokens": b"50,10"} if "chat" in path else {}
 
-    async def ask_late():
+    async def ask_once_limited():
         await context.rig.until(lambda: admission.ends_ms is not None)
         assert not admission.draining
         return await context.rig.call(vm, path, key=key, wait_ms=ms, **options)
 
-    context.reply = context.call(ask_late)
+    context.reply = context.call(ask_once_limited)
     context.replies = [context.reply]
     assert context.reply.status == status, context.reply.status
 
 
-@then('no request of service "{service}" ran')
+@then('no request of service "{service}" was executed')
 def step_service_idle(context, service):
     assert not ran(context.rig, service), ran(context.rig, service)
 
 
-@given('nothing listens any more where server "{name}" is')
+@given('nothing listens at the address of server "{name}"')
 def step_closed_port(context, name):
     async def move():
         rig = context.rig
@@ -989,32 +1004,32 @@
             sock.bind(("127.0.0.1", 0))
             rig.servers[name].port = sock.getsockname()[1]
         rig.servers[name].register()
-        standings = [vm.routing_state.server_states for vm in rig.vms.values()]
+        states = [vm.routing_state.server_states for vm in rig.vms.values()]
         port = rig.servers[name].port
-        await rig.until(lambda: all(it[name].server.port == port for it in standings))
+        await rig.until(lambda: all(it[name].server.port == port for it in states))
 
     context.call(move)
 
 
-@given('"{vm}" has used up its budget for repeats')
-def step_no_budget(context, vm):
-    path = context.rig.vms[vm].relay._handler
+@given('"{vm}" has used up its retry budget')
+def step_no_retry_budget(context, vm):
+    handler = context.rig.vms[vm].relay._handler
     for service in ("books", "model"):
-        budget = path._budget(service)
+        budget = handler._budget(service)
         budget.change(RepeatBounds(ratio=0.0, allowance=0.0, window_ms=1_000_000))
         now = SystemClock().now()
         while budget.take(now, 1):
             pass
 
 
-@then('"{service}" was asked {count:d} time')
-def step_asked(context, service, count):
+@then('servers of "{service}" received {count:d} request')
+def step_received_by_service(context, service, count):
     servers = [it for it in context.rig.servers.values() if it.service == service]
     assert sum(len(it.arrivals) for it in servers) == count
 
 
-@when('the peers\' port of "{vm}" gets a handed-over request for "{service}"')
-def step_hop_for(context, vm, service):
+@when('the peers\' port of "{vm}" gets a forwarded request for "{service}"')
+def step_forwarded_request(context, vm, service):
     headers = (
         *caller_headers("0123456789abcdef", key=None, wait_ms=2_000),
         (b"hop-service", service.encode()),
@@ -1024,58 +1039,58 @@
     context.reply = context.call(context.rig.exchange, context.rig.vms[vm].ports.peers, data)
 
 
-@then('it is told "{text}"')
-def step_hop_told(context, text):
+@then('the response marks it as "{mark}"')
+def step_not_run_mark(context, mark):
     assert context.reply.status == 503, context.reply.status
-    assert context.reply.headers[b"hop-not-run"] == text.encode(), context.reply.headers
+    assert context.reply.headers[b"hop-not-run"] == mark.encode(), context.reply.headers
 
 
-@given('VM "{name}" has started beside "{other}"')
-def step_started_beside(context, name, other):
+@given('VM "{name}" has started in the data centre of "{other}"')
+def step_start_in_data_centre(context, name, other):
     rig = context.rig
     manager = rig.vm(name, rig.vms[other].fleet.own_vm.data_centre)
     context.stack.enter_context(context.portal.wrap_async_context_manager(manager))
     context.call(rig.settled)
 
 
-@then('server "{name}" was asked {count:d} time')
-def step_server_asked(context, name, count):
+@then('server "{name}" received {count:d} request')
+def step_received_by_server(context, name, count):
     assert len(context.rig.servers[name].arrivals) == count
 
 
-@then("the caller gets {status:d} and comes back after {least:g} to {most:g} s")
-def step_comes_back(context, status, least, most):
+@then("the caller gets {status:d} with a retry-after time of {least:g} to {most:g} s")
+def step_retry_after_range(context, status, least, most):
     assert context.reply.status == status, context.reply.status
     assert least <= context.reply.retry_after <= most, context.reply.retry_after
 
 
 @when("{seconds:g} s pass")
-def step_pass(context, seconds):
+def step_time_passes(context, seconds):
     context.call(anyio.sleep, seconds)
 
 
 @then('"{vm}" counts the refusal as "{kind}"')
-def step_counted_as(context, vm, kind):
+def step_refusal_counted(context, vm, kind):
     counters = context.rig.vms[vm].relay._counters
     assert counters.refusals.labels(kind)._value.get() == 1
 
 
-@when('another VM knows a change that "{vm}" lacks, and it comes as no change to any entry')
-def step_ahead(context, vm):
-    async def ahead():
+@when('another VM reports a revision that "{vm}" lacks, and it arrives as an empty batch')
+def step_peer_ahead(context, vm):
+    async def report_ahead():
         feed = context.feed = context.rig.vms[vm].feed
-        context.at = SystemClock().now()
+        context.report_ms = SystemClock().now()
         context.reads = context.rig.app.stand_in.calls["range"]
         missing = feed._complete_revision + 1
-        feed.note_peer_revision(missing, context.at, source=None)
+        feed.note_peer_revision(missing, context.report_ms, source=None)
         feed._receive(WatchBatch(missing))
-        # So far ahead that no change of the gateway's own reaches it.
-        context.later = missing + 1_000
+        # So far ahead that the gateway's own writes to the store don't reach it.
+        context.later_revision = missing + 1_000
 
-    context.call(ahead)
+    context.call(report_ahead)
 
 
-@when("other changes come meanwhile")
+@when("other changes arrive meanwhile")
 def step_other_changes(context):
     async def change():
         rig, feed = context.rig, context.feed
@@ -1086,35 +1101,35 @@
     context.call(change)
 
 
-@when("another VM knows a later change {seconds:d} s after that")
-@when("it still lacks that change after {seconds:d} s more")
-def step_ahead_later(context, seconds):
-    async def later():
-        context.at += seconds * 1_000
-        context.feed.note_peer_revision(context.later, context.at, source=None)
+@when("another VM reports a later revision {seconds:d} s after that")
+@when("it still lacks that revision after {seconds:d} s more")
+def step_peer_ahead_again(context, seconds):
+    async def report_later():
+        context.report_ms += seconds * 1_000
+        context.feed.note_peer_revision(context.later_revision, context.report_ms, source=None)
         await anyio.sleep(0.2)
 
-    context.call(later)
+    context.call(report_later)
 
 
-@then('"{vm}" reads nothing anew')
-def step_no_read(context, vm):
+@then('"{vm}" does not read the store again')
+def step_no_store_read(context, vm):
     assert context.rig.app.stand_in.calls["range"] == context.reads
 
 
-@then('"{vm}" reads all anew')
-def step_read(context, vm):
+@then('"{vm}" reads the store again')
+def step_store_read(context, vm):
     calls = context.rig.app.stand_in.calls
     context.call(lambda: context.rig.until(lambda: calls["range"] == context.reads + 1))
 
 
 def leave_unanswered(context, vm, name, seconds=None):
-    """Let a VM's calls of the store fail after their own limit, or after so long."""
+    """Let a VM's calls of the store fail after their own timeout, or after some seconds."""
 
-    async def silence():
+    async def stop_responding():
         rig = context.rig
         feed = rig.vms[vm].feed
-        context.answering = feed._store._call
+        context.real_call = feed._store._call
 
         async def unanswered(kind, method, path, body, *, limit_ms, write=False):
             await anyio.sleep(seconds or limit_ms / 1000)
@@ -1124,41 +1139,39 @@
         feed._follow_scope.cancel()
         withdraw_key(rig, name)
 
-    context.call(silence)
+    context.call(stop_responding)
 
 
-@when('the store leaves calls of "{vm}" unanswered and the key of "{name}" is withdrawn')
-def step_unanswered(context, vm, name):
+@when('the store leaves calls of "{vm}" unanswered and the key of "{name}" is revoked')
+def step_calls_unanswered(context, vm, name):
     leave_unanswered(context, vm, name)
 
 
 @when(
     'the store leaves each call of "{vm}" unanswered for {seconds:d} s'
-    ' and the key of "{name}" is withdrawn'
+    ' and the key of "{name}" is revoked'
 )
-def step_long_unanswered(context, vm, seconds, name):
+def step_calls_unanswered_for(context, vm, seconds, name):
     leave_unanswered(context, vm, name, seconds)
 
 
-@when('the store answers "{vm}" again')
-def step_answers_again(context, vm):
-    context.rig.vms[vm].feed._store._call = context.answering
+@when('the store responds to "{vm}" again')
+def step_store_responds(context, vm):
+    context.rig.vms[vm].feed._store._call = context.real_call
 
 
-@then('within {limit:d} s "{vm}" reckons that it hears them {ms:d} ms late, added up')
-def step_lag(context, limit, vm, ms):
+@then('within {limit:d} s the report lag of "{vm}" is {ms:d} ms in total')
+def step_report_lag(context, limit, vm, ms):
     fleet = context.rig.vms[vm].fleet
     context.call(lambda: context.rig.until(lambda: fleet.report_lag_ms == ms, limit_s=limit))
 
 
-@when('VM "{gone}" has crashed and "{vm}" hears it no more')
-def step_unheard(context, gone, vm):
+@when('VM "{gone}" has crashed and is no longer live for "{vm}"')
+def step_crash_noticed(context, gone, vm):
     async def crash():
         rig = context.rig
         rig.vms[gone].kill()
         peers = rig.vms[vm].fleet.peers
-        await rig.until(
-            lambda: gone not in peers.by_name or not peers.is_live(peers.by_name[gone])
-        )
+        await rig.until(lambda: gone not in peers.by_name or not peers.is_live(peers.by_name[gone]))
 
     context.call(crash)
--- a/tests/steps/gateway/watchers_steps.py
+++ b/tests/steps/gateway/watchers_steps.py
@@ -13,18 +13,18 @@
 
 
 @when("{count:d} VMs watch the store")
-def step_watch(context, count):
+def step_watcher_count(context, count):
     rig = context.rig
     context.call(
         lambda: rig.until(
             lambda: len(watchers(rig)) == count and all(it.feed._loaded for it in rig.vms.values())
         )
     )
-    context.left = dict(rig.vms)
+    context.running = dict(rig.vms)
 
 
-@when('the key of "{name}" is withdrawn')
-def step_withdraw(context, name):
+@when('the key of "{name}" is revoked')
+def step_revoke_key(context, name):
     async def change():
         context.calls_before = context.rig.app.stand_in.calls["watch"]
         withdraw_key(context.rig, name)
@@ -32,41 +32,41 @@
     context.call(change)
 
 
-@when('both watchers crash and the key of "{name}" is withdrawn')
-def step_crash(context, name):
+@when('both watchers crash and the key of "{name}" is revoked')
+def step_watchers_crash(context, name):
     async def change():
         rig = context.rig
         for vm_name, vm in watchers(rig).items():
             vm.kill()
             await vm.ended.wait()
-            del context.left[vm_name]
+            del context.running[vm_name]
         withdraw_key(rig, name)
 
     context.call(change)
 
 
-@when('the store turns both watchers away and the key of "{name}" is withdrawn')
-def step_turned_away(context, name):
+@when('the store rejects both watchers and the key of "{name}" is revoked')
+def step_watchers_rejected(context, name):
     async def change():
         rig = context.rig
         for vm_name, vm in watchers(rig).items():
-            turn_away(vm)
-            del context.left[vm_name]
+            reject_calls(vm)
+            del context.running[vm_name]
         withdraw_key(rig, name)
 
     context.call(change)
 
 
-def turn_away(vm):
-    async def refused(*args, **kwargs):
+def reject_calls(vm):
+    async def rejected(*args, **kwargs):
         raise GatewayError(ErrorKind.PLATFORM_OUT, "status 503")
 
-    vm.feed._store._call = refused
+    vm.feed._store._call = rejected
     vm.feed._follow_scope.cancel()
 
 
-@when('the watchers have forgotten all changes and the key of "{name}" is withdrawn')
-def step_forgotten(context, name):
+@when('the watchers have dropped all changes and the key of "{name}" is revoked')
+def step_changes_dropped(context, name):
     async def change():
         for vm in watchers(context.rig).values():
             vm.feed.changes_after = lambda revision: None
@@ -76,22 +76,22 @@
 
 
 @then('within {limit:d} s a caller of "{name}" gets 401 from every VM')
-def step_refused_by_all(context, limit, name):
-    context.left = dict(context.rig.vms)
-    step_refused(context, limit, name)
+def step_revoked_everywhere(context, limit, name):
+    context.running = dict(context.rig.vms)
+    step_revoked(context, limit, name)
 
 
-@then('within {limit:d} s a caller of "{name}" gets 401 from every VM that is left')
+@then('within {limit:d} s a caller of "{name}" gets 401 from every VM that still runs')
 @then('within {limit:d} s a caller of "{name}" gets 401 from every VM that reaches the store')
-def step_refused(context, limit, name):
+def step_revoked(context, limit, name):
     rig = context.rig
     end = time.monotonic() + limit
-    for vm in context.left:
+    for vm in context.running:
         while context.call(lambda vm=vm: rig.call(vm, "/look/x", key=name)).status != 401:
             assert time.monotonic() < end, vm
 
 
-@then("the withdrawal cost at most {count:d} calls of watches")
-def step_cost(context, count):
+@then("the revocation took at most {count:d} watch calls")
+def step_watch_calls(context, count):
     calls = context.rig.app.stand_in.calls["watch"] - context.calls_before
     assert calls <= count, calls
