--- a/src/hickorybeam/gateway/relay.py
+++ b/src/hickorybeam/gateway/relay.py
@@ -228,8 +228,8 @@
             reply.whole(503)
             return
         addresses = [f"{vm.host}:{vm.caller_port}" for vm in vms[:64]]
-        answer = directory_answer(addresses, ttl_ms=DIRECTORY_TTL_MS)
-        reply.whole(200, JSON_HEADERS, answer)
+        body = directory_answer(addresses, ttl_ms=DIRECTORY_TTL_MS)
+        reply.whole(200, JSON_HEADERS, body)
 
     def _listed_vms(self, host: str, region: str) -> Sequence[GatewayVm]:
         """Return the VMs that a caller of a region should use."""
--- a/src/hickorybeam/gateway/status_report.py
+++ b/src/hickorybeam/gateway/status_report.py
@@ -44,7 +44,9 @@
     the next whole report makes up for a lost datagram. ``follows``: the VM watches the store and
     reaches it. ``cold``: remaining ms of servers that it found cold itself; relayed by others, the
     time would grow by each message's delay. ``granted``: usage in slots that other VMs granted,
-    not included in ``servers``.
+    not included in ``servers``. ``fresh``: the VM has just started and needs quota levels, which
+    an older VM sends it in ``levels``. ``holds``: servers to which shared prompt parts were sent,
+    by part id.
     """
 
     name: str
--- a/src/hickorybeam/gateway/usage_reporting.py
+++ b/src/hickorybeam/gateway/usage_reporting.py
@@ -84,7 +84,7 @@
     totals: dict[str, ServerUsage] = {}
     for peer in peers:
         reported = [peer.servers or {}]
-        reported += [usages for grantor, usages in peer.granted_usage.items() if grantor != own_name]
+        reported += [it for grantor, it in peer.granted_usage.items() if grantor != own_name]
         for usages in reported:
             for server, usage in usages.items():
                 totals[server] = add_usage(totals.get(server, NO_USAGE), usage)
