--- a/src/hickorybeam/gateway/admission.py
+++ b/src/hickorybeam/gateway/admission.py
@@ -6,10 +6,10 @@
 from typing import TYPE_CHECKING
 
 from hickorybeam.errors import ErrorKind, GatewayError
-from hickorybeam.gateway.attempt import Errand
+from hickorybeam.gateway.attempt import AdmittedRequest
 from hickorybeam.model import key_digest
 from hickorybeam.model.routing import Unit
-from hickorybeam.policy.come_back import come_back_ms
+from hickorybeam.policy.retry_after import outage_retry_after_ms
 from hickorybeam.policy.route_table import pick_target
 
 if TYPE_CHECKING:
@@ -46,7 +46,7 @@
         self.draining = False
         self.ends_ms: int | None = None
 
-    def admit(self, call: RelayCall) -> Errand:
+    def admit(self, call: RelayCall) -> AdmittedRequest:
         """Return what was decided about a request.
 
         :raises GatewayError: it is refused.
@@ -65,7 +65,7 @@
         if self.ends_ms is not None and deadline > self.ends_ms:
             raise GatewayError(ErrorKind.DRAINING, retry_after_ms=LEAVING_COME_BACK_MS)
         cost = self._spend(call, terms)
-        return Errand(
+        return AdmittedRequest(
             call=call,
             route=route,
             service=pick_target(route, self._rng.random()),
@@ -79,8 +79,8 @@
     def _ready_in_ms(self, call: RelayCall) -> int:
         """Return when a VM that knows no configuration yet may know one."""
         now = self._clock.now()
-        return come_back_ms(
-            away_ms=now - self._started_ms, settling_ms=0, left_ms=call.deadline_ms - now
+        return outage_retry_after_ms(
+            outage_ms=now - self._started_ms, recovery_ms=0, left_ms=call.deadline_ms - now
         )
 
     def _account(self, call: RelayCall) -> AccountTerms:
--- a/src/hickorybeam/gateway/attempt.py
+++ b/src/hickorybeam/gateway/attempt.py
@@ -8,32 +8,32 @@
 import anyio
 
 from hickorybeam.clock import MS_PER_SECOND
-from hickorybeam.http1 import BrokenAnswerError, ConnectFailedError, find
+from hickorybeam.http1 import BrokenResponseError, ConnectFailedError, find_header
 from hickorybeam.http1.head import request_bytes
-from hickorybeam.platform import REQUEST_ID, decode_answer, server_headers
+from hickorybeam.platform import REQUEST_ID, decode_response, server_headers
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
     from hickorybeam.gateway.peers import Peer
-    from hickorybeam.gateway.place_asking import Grant
-    from hickorybeam.http1 import AnswerHead, RawHeaders, UpstreamConnection, UpstreamPool
+    from hickorybeam.gateway.placement_client import Grant
+    from hickorybeam.http1 import RawHeaders, ResponseHead, UpstreamConnection, UpstreamPool
     from hickorybeam.model.routing import RelayCall, Route
-    from hickorybeam.platform import AnswerFacts
-    from hickorybeam.policy.server_choice import ServerStanding
+    from hickorybeam.platform import ResponseInfo
+    from hickorybeam.policy.server_choice import ServerState
 
 __all__ = (
     "HOP_ACCOUNT",
-    "HOP_COME_BACK",
-    "HOP_LEFT",
+    "HOP_RETRY_AFTER_MS",
+    "HOP_TIME_LEFT_MS",
     "HOP_NOT_RUN",
-    "HOP_RESUME",
+    "HOP_RESUME_AFTER",
     "HOP_SERVICE",
     "HOP_URGENCY",
     "NOT_ASKED",
     "REJECTED",
     "Attempt",
-    "Errand",
+    "AdmittedRequest",
     "NotSentError",
     "SilentError",
     "Target",
@@ -44,15 +44,15 @@
 # Between VMs: set by the sending VM, never taken from callers, who don't reach this port.
 HOP_SERVICE = b"hop-service"
 HOP_ACCOUNT = b"hop-account"
-HOP_LEFT = b"hop-left-ms"
+HOP_TIME_LEFT_MS = b"hop-left-ms"
 HOP_URGENCY = b"hop-urgency"
-HOP_RESUME = b"hop-resume-after"
+HOP_RESUME_AFTER = b"hop-resume-after"
 # In an answer between VMs: the request was not run, and nothing of the answer is a server's. Its
 # value tells whether a server was asked and rejected it, or none was asked.
 HOP_NOT_RUN = b"hop-not-run"
 REJECTED, NOT_ASKED = b"rejected", b"not-asked"
 # Beside it: in how many ms the region expects to have room.
-HOP_COME_BACK = b"hop-come-back-ms"
+HOP_RETRY_AFTER_MS = b"hop-come-back-ms"
 # How often it is looked again whether a request should leave a silent server, in ms.
 ASK_AGAIN_MS = 200
 
@@ -79,7 +79,7 @@
         self.come_back_ms = come_back_ms
 
 
-class SilentError(BrokenAnswerError):
+class SilentError(BrokenResponseError):
     """No first byte came within the patience; the request may have run."""
 
 
@@ -87,7 +87,7 @@
 class ToServer:
     """A backend server of this region; another VM may have given the place there."""
 
-    standing: ServerStanding
+    standing: ServerState
     grant: Grant | None = None
 
 
@@ -102,7 +102,7 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class Errand:
+class AdmittedRequest:
     """A request with all that was decided about it.
 
     ``resume_after`` is the id of the last event that the caller has; it moves as a stream goes
@@ -126,7 +126,12 @@
     """
 
     def __init__(
-        self, pool: UpstreamPool, target: Target, errand: Errand, *, copy_from: str | None = None
+        self,
+        pool: UpstreamPool,
+        target: Target,
+        errand: AdmittedRequest,
+        *,
+        copy_from: str | None = None,
     ) -> None:
         self._pool = pool
         self._copy_from = copy_from
@@ -141,7 +146,7 @@
         *,
         patience_ms: float | None = None,
         leave: Callable[[], bool] = lambda: True,
-    ) -> tuple[AnswerHead, AnswerFacts]:
+    ) -> tuple[ResponseHead, ResponseInfo]:
         """Send the request and return the head of its answer.
 
         :param patience_ms: how long to wait for it; ``None`` for no limit but the deadline.
@@ -149,33 +154,33 @@
             request should go elsewhere. While not, its answer is waited for.
         :raises NotSentError: it was not run.
         :raises SilentError: no byte came within the patience.
-        :raises BrokenAnswerError: it may have run.
+        :raises BrokenResponseError: it may have run.
         """
         limit_s = None if patience_ms is None else patience_ms / MS_PER_SECOND
         with anyio.move_on_after(limit_s):
             conn = await self._sent(self._errand.deadline_ms - now_ms)
-            head = await conn.head()
+            head = await conn.read_head()
             return await self._decoded(head)
         waiting = self._conn
         if waiting is None:
             raise NotSentError("no connection in time", unreachable=True)
         while not leave():
             with anyio.move_on_after(ASK_AGAIN_MS / MS_PER_SECOND):
-                head = await waiting.head()
+                head = await waiting.read_head()
                 return await self._decoded(head)
         raise SilentError("silent")
 
-    async def _decoded(self, head: AnswerHead) -> tuple[AnswerHead, AnswerFacts]:
-        hop = find(head.headers, HOP_NOT_RUN)
+    async def _decoded(self, head: ResponseHead) -> tuple[ResponseHead, ResponseInfo]:
+        hop = find_header(head.headers, HOP_NOT_RUN)
         if hop is not None:
             await self._finish()
-            after = find(head.headers, HOP_COME_BACK) or b""
+            after = find_header(head.headers, HOP_RETRY_AFTER_MS) or b""
             raise NotSentError(
                 "the other region did not run it",
                 rejected=hop != NOT_ASKED,
                 come_back_ms=int(after) if after.isdigit() else None,
             )
-        return head, decode_answer(head)
+        return head, decode_response(head)
 
     async def _sent(self, left_ms: int) -> UpstreamConnection:
         """Send on an idle connection, or on a new one if that has just ended."""
@@ -184,11 +189,11 @@
         expected = (REQUEST_ID, call.request_id.encode("latin-1")) if call.request_id else None
         for fresh in (False, True):
             try:
-                self._conn = await self._pool.take(self._address, fresh=fresh)
+                self._conn = await self._pool.acquire(self._address, fresh=fresh)
                 self._conn.send(data, expected_id=expected)
             except ConnectFailedError as exc:
                 raise NotSentError(str(exc), unreachable=True) from exc
-            except BrokenAnswerError as exc:
+            except BrokenResponseError as exc:
                 # Nothing was sent: the other end closed the connection while it was idle.
                 self.close()
                 why = str(exc)
@@ -215,19 +220,19 @@
     async def chunk(self) -> bytes:
         """Return the next bytes of the answer's body, empty at its proper end."""
         if self._conn is None:
-            raise BrokenAnswerError("not open", sent=False)
-        return await self._conn.chunk()
+            raise BrokenResponseError("not open", sent=False)
+        return await self._conn.read_chunk()
 
     async def body(self) -> bytes:
         """Read the whole body."""
         if self._conn is None:
-            raise BrokenAnswerError("not open", sent=False)
-        return await self._conn.body()
+            raise BrokenResponseError("not open", sent=False)
+        return await self._conn.read_body()
 
     def kept(self) -> None:
         """Give the connection back after the body was read to its proper end."""
         if self._conn is not None:
-            self._pool.give_back(self._address, self._conn)
+            self._pool.release(self._address, self._conn)
             self._conn = None
 
     def close(self) -> None:
@@ -238,12 +243,12 @@
 
     def forget_idle(self) -> None:
         """Give up idle connections to an address that fell silent."""
-        self._pool.forget(self._address)
+        self._pool.close_idle(self._address)
 
     async def _finish(self) -> None:
         try:
             await self.body()
-        except BrokenAnswerError:
+        except BrokenResponseError:
             self.close()
         else:
             self.kept()
@@ -258,15 +263,15 @@
             return (peer.vm.host, peer.vm.peer_port)
 
 
-def hop_headers(errand: Errand, left_ms: int) -> RawHeaders:
+def hop_headers(errand: AdmittedRequest, left_ms: int) -> RawHeaders:
     """Return what a VM tells another one beside the caller's own headers."""
     headers = [
         (HOP_SERVICE, errand.service.encode("latin-1")),
-        (HOP_LEFT, b"%d" % max(1, left_ms)),
+        (HOP_TIME_LEFT_MS, b"%d" % max(1, left_ms)),
         (HOP_URGENCY, b"%d" % errand.urgency),
     ]
     if errand.account is not None:
         headers.append((HOP_ACCOUNT, errand.account.encode("latin-1")))
     if errand.resume_after is not None:
-        headers.append((HOP_RESUME, errand.resume_after.encode("latin-1")))
+        headers.append((HOP_RESUME_AFTER, errand.resume_after.encode("latin-1")))
     return tuple(headers)
--- a/src/hickorybeam/gateway/fleet.py
+++ b/src/hickorybeam/gateway/fleet.py
@@ -18,30 +18,35 @@
 import msgspec
 from absl import logging
 
+from hickorybeam.gateway.coordinator_ranking import CoordinatorRanking
 from hickorybeam.gateway.datagrams import DatagramReceiver
 from hickorybeam.gateway.feed import FeedService
 from hickorybeam.gateway.peers import DISCOVERY_MS, MIN_STABLE_MS, PeerTable
-from hickorybeam.gateway.place_words import Placed, Still, Told, Wanted
+from hickorybeam.gateway.placement_messages import (
+    HeldPlacements,
+    PlacementRequest,
+    PlacementResponse,
+    PlacementUpdate,
+)
 from hickorybeam.gateway.registration import Registration
 from hickorybeam.gateway.status_report import Audience, StatusReport
 from hickorybeam.gateway.usage_reporting import OwnUsage, apply_peer_usage
-from hickorybeam.gateway.who_places import WhoPlaces
 from hickorybeam.kernel import Service
 from hickorybeam.model.routing import GatewayVm
 from hickorybeam.policy.fleet_quota import FleetQuota
-from hickorybeam.policy.pacing import (
-    gone_after_ms,
-    near_every_ms,
-    out_of_step_ms,
-    outside_every_ms,
-    watch_rest_ms,
-    watch_wait_ms,
-    watcher_gone_after_ms,
-)
 from hickorybeam.policy.prefix_holders import PrefixHolders
-from hickorybeam.policy.watchers import watchers_of, watches_itself
+from hickorybeam.policy.report_intervals import (
+    jittered_interval_ms,
+    local_report_interval_ms,
+    peer_timeout_ms,
+    remote_report_interval_ms,
+    watch_pause_ms,
+    watch_poll_timeout_ms,
+    watcher_timeout_ms,
+)
+from hickorybeam.policy.watchers import count_watchers, should_watch
 from hickorybeam.ports import FEED, FLEET, PLATFORM
-from hickorybeam.sockets import bound_socket
+from hickorybeam.sockets import bind_socket
 from hickorybeam.store import PacedPlatform, WatchBatch
 
 if TYPE_CHECKING:
@@ -60,7 +65,7 @@
 __all__ = ("FleetService",)
 
 # All messages that VMs send each other in datagrams.
-PeerMessage = StatusReport | Wanted | Placed | Told | Still
+PeerMessage = StatusReport | PlacementRequest | PlacementResponse | PlacementUpdate | HeldPlacements
 # One in this many reports to the own data centre is whole; the others hold only what changed.
 WHOLE_REPORT_EVERY = 10
 
@@ -95,7 +100,7 @@
             power=cfg.vm.power,
         )
         self.peers = PeerTable(clock, self.own_vm)
-        self.who_places = WhoPlaces(self.own_vm, self.peers, self._is_stable)
+        self.coordinators = CoordinatorRanking(self.own_vm, self.peers, self._is_stable)
         self._message_handlers: dict[type[PeerMessage], Callable[[Any], None]] = {
             StatusReport: self._handle_report
         }
@@ -194,7 +199,7 @@
     async def main(self, started: Started) -> None:
         """Register and exchange reports until cancelled."""
         loop = asyncio.get_running_loop()
-        self._peer_socket = bound_socket(self._cfg.vm.host, self.own_vm.peer_port)
+        self._peer_socket = bind_socket(self._cfg.vm.host, self.own_vm.peer_port)
         port = self._peer_socket.getsockname()[1]
         self._transport, _ = await loop.create_datagram_endpoint(
             lambda: DatagramReceiver(self.receive_datagram), local_addr=(self._cfg.vm.host, port)
@@ -215,7 +220,7 @@
         It is bound together with the UDP port, so that both have the same number.
         """
         sock, self._peer_socket = self._peer_socket, None
-        return sock or bound_socket(self.own_vm.host, self.own_vm.peer_port)
+        return sock or bind_socket(self.own_vm.host, self.own_vm.peer_port)
 
     def start_registering(self, *, caller_port: int) -> None:
         """Start to register this VM, once callers and peers can connect."""
@@ -255,12 +260,12 @@
 
     async def _report_locally(self) -> None:
         while True:
-            await self._clock.sleep(near_every_ms(len(self.peers.local_peers())))
+            await self._clock.sleep(local_report_interval_ms(len(self.peers.local_peers())))
             now = self._clock.now()
             self.peers.prune()
-            self.who_places.look_again()
+            self.coordinators.invalidate()
             self._adjust_intervals()
-            self.quota.reach(1 + self.peers.quota_peer_count(), self.known_vm_count(), now)
+            self.quota.set_live_vms(1 + self.peers.quota_peer_count(), self.known_vm_count(), now)
             live_peers = [it for it in self.peers.by_name.values() if self.peers.is_live(it)]
             apply_peer_usage(self._feed.routing_state, live_peers, own_name=self.own_vm.name)
             self._send_local_reports()
@@ -268,18 +273,23 @@
     async def _report_remotely(self) -> None:
         while True:
             just_started = not self.fleet_known()
-            interval_ms = outside_every_ms(self.known_vm_count(), young=just_started)
-            await self._clock.sleep(out_of_step_ms(interval_ms, self._rng))
+            interval_ms = remote_report_interval_ms(
+                self.known_vm_count(), just_started=just_started
+            )
+            await self._clock.sleep(jittered_interval_ms(interval_ms, self._rng))
             self._send_remote_reports()
 
     def _adjust_intervals(self) -> None:
         """Adjust intervals and timeouts to the fleet's size, and whether to watch the store."""
-        local, watchers = len(self.peers.local_peers()), watchers_of(self.peers.data_centre_sizes())
-        self.peers.peer_timeout_ms = gone_after_ms(near=local, vms=self.known_vm_count())
-        self.quota.silent_ms = self.peers.quota_peer_timeout_ms()
-        self._store.watch_rest_ms = watch_rest_ms(watchers)
-        self._store.watch_wait_ms = watch_wait_ms(watchers)
-        self._feed.set_watcher(watches_itself(self.own_vm.name, self._live_local_peers()))
+        local, watchers = (
+            len(self.peers.local_peers()),
+            count_watchers(self.peers.data_centre_sizes()),
+        )
+        self.peers.peer_timeout_ms = peer_timeout_ms(local_peers=local, vms=self.known_vm_count())
+        self.quota.peer_timeout_ms = self.peers.quota_peer_timeout_ms()
+        self._store.watch_pause_ms = watch_pause_ms(watchers)
+        self._store.watch_poll_timeout_ms = watch_poll_timeout_ms(watchers)
+        self._feed.set_watcher(should_watch(self.own_vm.name, self._live_local_peers()))
         self.report_lag_ms = self.peers.report_lag_ms()
 
     def _live_local_peers(self) -> dict[str, bool]:
@@ -287,7 +297,7 @@
 
         The value is whether a VM watches the store.
         """
-        return self.peers.live_local_peers(watcher_gone_after_ms(len(self.peers.local_peers())))
+        return self.peers.live_local_peers(watcher_timeout_ms(len(self.peers.local_peers())))
 
     def _send_local_reports(self) -> None:
         """Send a report to every VM of this data centre, with those received from other ones."""
@@ -361,7 +371,7 @@
             levels=self.quota.levels() if with_levels else None,
             # Other VMs may not know it: one that restarts while the store is out isn't registered.
             vm=None if self._registration.held else self.own_vm,
-            holds={} if with_levels else self.prefix_holders.news(audience.value),
+            holds={} if with_levels else self.prefix_holders.take_updates(audience.value),
             cold={} if far else self._own_usage.remaining_cold_ms(),
             granted=granted,
         )
@@ -400,7 +410,7 @@
         peer.leaving = report.leaving
         peer.watches_store = report.follows
         self._feed.note_peer_revision(report.revision, now, source=self._change_source(peer))
-        self.prefix_holders.heard(report.holds, now)
+        self.prefix_holders.merge(report.holds, now)
         if self.peers.in_own_region(peer):
             known = {} if report.whole or peer.servers is None else peer.servers
             peer.servers = known | report.servers
@@ -411,7 +421,7 @@
             peer.forecasts = report.forecasts
         started_later = report.up_ms < now - self._started_ms
         incarnation = f"{report.name}/{report.incarnation}"
-        self.quota.heard(incarnation, report.spent, now, younger=started_later)
+        self.quota.apply_totals(incarnation, report.spent, now, started_later=started_later)
         self._exchange_levels(report, peer, now)
         return peer
 
@@ -426,7 +436,7 @@
         up_ms = now_ms - self._started_ms
         if report.levels is not None and self._needs_levels and report.up_ms > up_ms:
             self._needs_levels = False
-            self.quota.adopt(report.levels, now_ms)
+            self.quota.adopt_levels(report.levels, now_ms)
         if self._needs_levels and up_ms > DISCOVERY_MS:
             self._needs_levels = False
         if report.fresh and report.up_ms < up_ms:
--- a/src/hickorybeam/gateway/peers.py
+++ b/src/hickorybeam/gateway/peers.py
@@ -10,12 +10,12 @@
 from absl import logging
 
 from hickorybeam.model.routing import GatewayVm
-from hickorybeam.policy.pacing import (
-    LEAST_HEARD_MS,
-    near_every_ms,
-    outside_every_ms,
-    quiet_after_ms,
-    spends_alone_after_ms,
+from hickorybeam.policy.report_intervals import (
+    MIN_PEER_TIMEOUT_MS,
+    isolation_timeout_ms,
+    local_report_interval_ms,
+    quota_peer_timeout_ms,
+    remote_report_interval_ms,
 )
 
 if TYPE_CHECKING:
@@ -39,7 +39,7 @@
     vm: GatewayVm
     known_since_ms: int
     registered: bool = True
-    last_seen_ms: int = -LEAST_HEARD_MS
+    last_seen_ms: int = -MIN_PEER_TIMEOUT_MS
     leaving: bool = False
     leaving_since_ms: int = 0
     watches_store: bool = False
@@ -78,7 +78,7 @@
     def __init__(self, clock: Clock, own_vm: GatewayVm) -> None:
         self._clock = clock
         self._own_vm = own_vm
-        self.peer_timeout_ms = LEAST_HEARD_MS
+        self.peer_timeout_ms = MIN_PEER_TIMEOUT_MS
         self.by_name: dict[str, Peer] = {}
 
     def live_count(self) -> int:
@@ -89,14 +89,16 @@
         """Return how many VMs share the accounts' rates with this one, 0 if it is isolated."""
         now = self._clock.now()
         ages_ms = [now - it.last_seen_ms for it in self.by_name.values()]
-        if min(ages_ms, default=0) > quiet_after_ms(len(self.local_peers())):
+        if min(ages_ms, default=0) > isolation_timeout_ms(len(self.local_peers())):
             return 0
         limit_ms = self.quota_peer_timeout_ms()
         return sum(age_ms < limit_ms for age_ms in ages_ms)
 
     def quota_peer_timeout_ms(self) -> int:
         """Return how long a VM may send no report before it counts as spending its own share."""
-        return spends_alone_after_ms(near=len(self.local_peers()), vms=1 + self.known_count())
+        return quota_peer_timeout_ms(
+            local_peers=len(self.local_peers()), vms=1 + self.known_count()
+        )
 
     def is_live(self, peer: Peer) -> bool:
         """Return whether a report of the VM arrived within the timeout."""
@@ -157,9 +159,9 @@
             if self.in_own_region(peer) and peer.is_live(now, self.peer_timeout_ms):
                 is_local = peer.vm.data_centre == self._own_vm.data_centre
                 local, other = local + is_local, other + (not is_local)
-        interval_ms = near_every_ms(local)
+        interval_ms = local_report_interval_ms(local)
         return local * interval_ms + other * (
-            outside_every_ms(1 + self.known_count()) + interval_ms
+            remote_report_interval_ms(1 + self.known_count()) + interval_ms
         )
 
     def data_centre_sizes(self) -> Counter[str]:
--- a/src/hickorybeam/gateway/relay.py
+++ b/src/hickorybeam/gateway/relay.py
@@ -10,22 +10,22 @@
 
 from hickorybeam.gateway.attempt import (
     HOP_ACCOUNT,
-    HOP_LEFT,
-    HOP_RESUME,
+    HOP_RESUME_AFTER,
     HOP_SERVICE,
+    HOP_TIME_LEFT_MS,
     HOP_URGENCY,
-    Errand,
+    AdmittedRequest,
 )
 from hickorybeam.gateway.feed import CHANGES_PATH, STATE_PATH, FeedService
 from hickorybeam.gateway.fleet import FleetService
-from hickorybeam.gateway.path import RequestPath, shutdown_of
-from hickorybeam.http1 import HttpServer, UpstreamPool, find
+from hickorybeam.gateway.request_handler import RequestHandler, shutdown_times
+from hickorybeam.http1 import HttpServer, UpstreamPool, find_header
 from hickorybeam.kernel import Service
 from hickorybeam.model.routing import Repeat, Route
-from hickorybeam.platform import decode_call, decode_query, directory_answer
-from hickorybeam.policy.directory import RegionVms, vms_to_name
+from hickorybeam.platform import decode_call, decode_query, directory_response
+from hickorybeam.policy.directory_listing import RegionVms, vms_to_list
 from hickorybeam.ports import FEED, FLEET, RELAY
-from hickorybeam.sockets import bound_socket, split_address
+from hickorybeam.sockets import bind_socket, split_address
 from hickorybeam.telemetry.decisions import DecisionLog
 
 if TYPE_CHECKING:
@@ -33,7 +33,7 @@
     from collections.abc import Sequence
 
     from hickorybeam.clock import Clock
-    from hickorybeam.http1 import Incoming, Reply
+    from hickorybeam.http1 import IncomingRequest, ResponseWriter
     from hickorybeam.http1.server import Handler
     from hickorybeam.kernel import Kernel, Started
     from hickorybeam.model.routing import GatewayVm
@@ -90,7 +90,7 @@
         if self._cfg.gateway is None:
             raise ValueError("settings have no section 'gateway'")
         self._gateway = self._cfg.gateway
-        self._handler = RequestPath(
+        self._handler = RequestHandler(
             cfg=self._gateway,
             clock=self._clock,
             counters=self._counters,
@@ -123,7 +123,7 @@
                     self._servers.append(server)
                 self._in_flight.set_function(lambda: self._caller_server.in_flight)
                 tg.start_soon(self._update_forecasts)
-                tg.start_soon(self._handler.place_for_others)
+                tg.start_soon(self._handler.run_placement)
                 self._fleet.start_registering(caller_port=self._caller_server.port)
                 started()
         finally:
@@ -135,7 +135,7 @@
     def _listeners(self) -> tuple[tuple[Handler, socket.socket], ...]:
         cfg, bound = self._gateway, self._bound_ports
         return (
-            (self._handler.answer, bind_address(cfg.callers, bound.callers)),
+            (self._handler.handle, bind_address(cfg.callers, bound.callers)),
             (self._serve_peer, self._fleet.take_peer_socket()),
             (self._serve_readiness, bind_address(cfg.ready, bound.ready)),
             (self._serve_directory, bind_address(cfg.directory, bound.directory)),
@@ -158,14 +158,14 @@
         """
         began_ms = self._clock.now()
         self._leaving = True
-        times = shutdown_of(self._gateway)
-        end_ms = began_ms + times.end_ms
+        times = shutdown_times(self._gateway)
+        end_ms = began_ms + times.finish_by_ms
         for server in self._servers:
             server.closing = True
         await self._fleet.announce_leaving()
-        await self._sleep_until(began_ms + times.serve_on_ms)
-        self._handler.take_until(round(end_ms))
-        await self._sleep_until(began_ms + times.accept_on_ms)
+        await self._sleep_until(began_ms + times.accept_all_until_ms)
+        self._handler.accept_until(round(end_ms))
+        await self._sleep_until(began_ms + times.accept_until_ms)
         self._handler.drain()
         for server in self._servers:
             server.stop_accepting()
@@ -190,46 +190,46 @@
     def _count_malformed(self, status: int) -> None:
         self._counters.refusals.labels(f"malformed_{status}").inc()
 
-    async def _serve_peer(self, req: Incoming, reply: Reply) -> None:
+    async def _serve_peer(self, req: IncomingRequest, reply: ResponseWriter) -> None:
         """Serve the peers' port: requests forwarded by another region's VM, metrics, changes."""
         if req.target == METRICS_PATH:
-            reply.whole(200, METRICS_HEADERS, self._counters.text())
+            reply.send(200, METRICS_HEADERS, self._counters.text())
             return
         if req.target.startswith(CHANGES_PREFIX):
             self._serve_changes(req, reply)
             return
         request = decode_forwarded_request(req)
         if request is None:
-            reply.whole(404)
+            reply.send(404)
             return
-        await self._handler.serve(request, reply, here_only=True)
+        await self._handler.handle_admitted(request, reply, local_only=True)
 
-    def _serve_changes(self, req: Incoming, reply: Reply) -> None:
+    def _serve_changes(self, req: IncomingRequest, reply: ResponseWriter) -> None:
         """Send the changes after a revision to a VM that doesn't watch the store."""
         after = req.target.removeprefix(CHANGES_PREFIX)
         found = self._feed.changes_after(int(after)) if after.isdigit() else None
         if found is None:
-            reply.whole(404)
+            reply.send(404)
         else:
-            reply.whole(200, MSGPACK_HEADERS, found)
+            reply.send(200, MSGPACK_HEADERS, found)
 
-    async def _serve_readiness(self, req: Incoming, reply: Reply) -> None:
+    async def _serve_readiness(self, req: IncomingRequest, reply: ResponseWriter) -> None:
         ready = self._feed.routing_state.config is not None and not self._leaving
-        reply.whole(200 if ready else 503)
+        reply.send(200 if ready else 503)
 
-    async def _serve_directory(self, req: Incoming, reply: Reply) -> None:
+    async def _serve_directory(self, req: IncomingRequest, reply: ResponseWriter) -> None:
         """Send the addresses of the VMs that the caller should use."""
         query = decode_query(req.target)
         if query is None:
-            reply.whole(404)
+            reply.send(404)
             return
         vms = self._listed_vms(query.host, query.region)
         if not vms:
-            reply.whole(503)
+            reply.send(503)
             return
         addresses = [f"{vm.host}:{vm.caller_port}" for vm in vms[:64]]
-        body = directory_answer(addresses, ttl_ms=DIRECTORY_TTL_MS)
-        reply.whole(200, JSON_HEADERS, body)
+        body = directory_response(addresses, ttl_ms=DIRECTORY_TTL_MS)
+        reply.send(200, JSON_HEADERS, body)
 
     def _listed_vms(self, host: str, region: str) -> Sequence[GatewayVm]:
         """Return the VMs that a caller of a region should use."""
@@ -237,31 +237,33 @@
         if routing_state.config is None:
             # Home regions aren't known yet; VMs outside them could not serve the caller.
             return ()
-        return vms_to_name(
+        return vms_to_list(
             region,
             homes=routing_state.route_table.homes(host.lower()),
             regions=set(self._gateway.regions.values()),
             vms_of=self._vms_by_phase,
-            settled=self._fleet.fleet_known(),
+            fleet_known=self._fleet.fleet_known(),
         )
 
     def _vms_by_phase(self, region: str) -> RegionVms:
         """Return a region's VMs by what they still accept."""
-        times = shutdown_of(self._gateway)
+        times = shutdown_times(self._gateway)
         leaving = self._fleet.leaving_vms(region)
         return RegionVms(
             serving=self._fleet.region_vms(region),
-            closing=[vm for vm, for_ms in leaving if for_ms < times.serve_on_ms],
-            finishing=[
-                vm for vm, for_ms in leaving if times.serve_on_ms <= for_ms < times.accept_on_ms
+            draining=[vm for vm, for_ms in leaving if for_ms < times.accept_all_until_ms],
+            draining_short_only=[
+                vm
+                for vm, for_ms in leaving
+                if times.accept_all_until_ms <= for_ms < times.accept_until_ms
             ],
         )
 
-    async def _serve_state(self, req: Incoming, reply: Reply) -> None:
+    async def _serve_state(self, req: IncomingRequest, reply: ResponseWriter) -> None:
         if req.target.decode("latin-1") == STATE_PATH and self._feed.routing_state.config:
-            reply.whole(200, MSGPACK_HEADERS, self._feed.encode_state())
+            reply.send(200, MSGPACK_HEADERS, self._feed.encode_state())
         else:
-            reply.whole(404)
+            reply.send(404)
 
 
 def decode_urgency(value: bytes | None) -> int:
@@ -275,24 +277,27 @@
     :param bound_port: port of an earlier start; if not 0, used instead of the address's own.
     """
     host, port = split_address(address)
-    return bound_socket(host, bound_port or port)
+    return bind_socket(host, bound_port or port)
 
 
-def decode_forwarded_request(req: Incoming) -> Errand | None:
+def decode_forwarded_request(req: IncomingRequest) -> AdmittedRequest | None:
     """Decode a request forwarded by another VM, ``None`` if it isn't one."""
-    service = find(req.headers, HOP_SERVICE)
-    time_left_ms = find(req.headers, HOP_LEFT)
+    service = find_header(req.headers, HOP_SERVICE)
+    time_left_ms = find_header(req.headers, HOP_TIME_LEFT_MS)
     if service is None or time_left_ms is None or not time_left_ms.isdigit():
         return None
     call = decode_call(req)
-    account, resume_after = find(req.headers, HOP_ACCOUNT), find(req.headers, HOP_RESUME)
+    account, resume_after = (
+        find_header(req.headers, HOP_ACCOUNT),
+        find_header(req.headers, HOP_RESUME_AFTER),
+    )
     route = Route(name="hop", host="", prefix="/", repeat=Repeat.ONCE, targets=())
-    return Errand(
+    return AdmittedRequest(
         call=call,
         route=route,
         service=service.decode("latin-1"),
         account=None if account is None else account.decode("latin-1"),
-        urgency=decode_urgency(find(req.headers, HOP_URGENCY)),
+        urgency=decode_urgency(find_header(req.headers, HOP_URGENCY)),
         deadline_ms=req.arrived_ms + int(time_left_ms),
         resume_after=None if resume_after is None else resume_after.decode("latin-1"),
     )
--- a/src/hickorybeam/gateway/routing_state.py
+++ b/src/hickorybeam/gateway/routing_state.py
@@ -9,10 +9,10 @@
 
 from absl import logging
 
-from hickorybeam.model.routing import CallerRules, RoutingConfig
-from hickorybeam.policy.cold_limit import ColdLimit
+from hickorybeam.model.routing import CallerLimits, RoutingConfig
+from hickorybeam.policy.cold_limit import ColdServerLimiter
 from hickorybeam.policy.route_table import RouteTable
-from hickorybeam.policy.server_choice import ServerStanding
+from hickorybeam.policy.server_choice import ServerState
 
 if TYPE_CHECKING:
     from hickorybeam.model.routing import RegisteredServer
@@ -26,15 +26,15 @@
     def __init__(self) -> None:
         self.config: RoutingConfig | None = None
         self.route_table = RouteTable(())
-        self.server_states: dict[str, ServerStanding] = {}
+        self.server_states: dict[str, ServerState] = {}
         self.evacuated_data_centres: frozenset[str] = frozenset()
-        self._by_service: dict[str, dict[str, ServerStanding]] = {}
+        self._by_service: dict[str, dict[str, ServerState]] = {}
         self._cold_until: dict[str, int] = {}
-        self._cold_limits: dict[str, ColdLimit] = {}
+        self._cold_limits: dict[str, ColdServerLimiter] = {}
 
-    def caller_limits(self) -> CallerRules:
+    def caller_limits(self) -> CallerLimits:
         """Return the limits on callers' requests that are in force."""
-        return self.config.callers if self.config else CallerRules()
+        return self.config.callers if self.config else CallerLimits()
 
     def update_config(self, config: RoutingConfig) -> bool:
         """Apply a configuration if it is newer than the one in force.
@@ -55,7 +55,7 @@
         state = self.server_states.get(server.id)
         if state is None or not same_incarnation(state.server, server):
             self._remove(server.id)
-            state = ServerStanding(server)
+            state = ServerState(server)
             self.server_states[server.id] = state
             self._by_service.setdefault(server.service, {})[server.id] = state
             logging.info("server %s of service %s registered", server.id, server.service)
@@ -82,21 +82,23 @@
         """Return whether a server is still cold."""
         return now_ms < self._cold_until.get(server_id, 0)
 
-    def cold_limit(self, server: RegisteredServer, now_ms: int) -> ColdLimit:
+    def cold_limit(self, server: RegisteredServer, now_ms: int) -> ColdServerLimiter:
         """Return the rate limiter of this VM's requests to a cold server."""
         limit = self._cold_limits.get(server.id)
         if limit is None:
             spec = self.config.services.get(server.service) if self.config else None
             per_s = spec.cold_per_s if spec else 0.0
-            limit = self._cold_limits[server.id] = ColdLimit(per_s=per_s, now_ms=now_ms)
+            limit = self._cold_limits[server.id] = ColdServerLimiter(
+                rate_per_s=per_s, now_ms=now_ms
+            )
         return limit
 
-    def available_servers(self, service: str) -> list[ServerStanding]:
+    def available_servers(self, service: str) -> list[ServerState]:
         """Return the available servers of a service."""
         found = self._by_service.get(service, {}).values()
         return [it for it in found if self.is_available(it)]
 
-    def is_available(self, state: ServerStanding) -> bool:
+    def is_available(self, state: ServerState) -> bool:
         """Return whether a server is neither leaving nor in an evacuated data centre."""
         server = state.server
         return not server.leaving and server.data_centre not in self.evacuated_data_centres
--- a/src/hickorybeam/gateway/usage_reporting.py
+++ b/src/hickorybeam/gateway/usage_reporting.py
@@ -34,7 +34,7 @@
 
     def spent(self, *, whole: bool) -> dict[str, float]:
         """Return the spent totals by account, only those that changed unless ``whole``."""
-        now = {name: round(total, 1) for name, total in self._quota.totals().items()}
+        now = {name: round(total, 1) for name, total in self._quota.spent_totals().items()}
         if whole:
             return now
         before, self._last_spent = self._last_spent, now
@@ -50,9 +50,9 @@
         :param granted: its usage in slots that other VMs granted.
         """
         now = {
-            name: (it.running, it.reading, it.holding)
+            name: (it.own_requests, it.own_prefill_tokens, it.own_held_tokens)
             for name, it in routing_state.server_states.items()
-            if it.running or it.reading
+            if it.own_requests or it.own_prefill_tokens
         }
         for granted_usage in granted.values():
             for name, usage in granted_usage.items():
@@ -84,12 +84,14 @@
     totals: dict[str, ServerUsage] = {}
     for peer in peers:
         reported = [peer.servers or {}]
-        reported += [it for grantor, it in peer.granted_usage.items() if grantor != own_name]
+        reported += [
+            usages for grantor, usages in peer.granted_usage.items() if grantor != own_name
+        ]
         for usages in reported:
             for server, usage in usages.items():
                 totals[server] = add_usage(totals.get(server, NO_USAGE), usage)
     for name, state in routing_state.server_states.items():
         running, reading, holding = totals.get(name, NO_USAGE)
-        state.elsewhere = running
-        state.reading_elsewhere = reading
-        state.holding_elsewhere = holding
+        state.peer_requests = running
+        state.peer_prefill_tokens = reading
+        state.peer_held_tokens = holding
--- a/src/hickorybeam/gateway/asking.py
+++ b/src/hickorybeam/gateway/vm_client.py
@@ -8,14 +8,14 @@
 
 from hickorybeam.clock import MS_PER_SECOND
 from hickorybeam.errors import ErrorKind, GatewayError
-from hickorybeam.http1 import BrokenAnswerError, ConnectFailedError, UpstreamPool
+from hickorybeam.http1 import BrokenResponseError, ConnectFailedError, UpstreamPool
 from hickorybeam.http1.head import request_bytes
 
 if TYPE_CHECKING:
     from hickorybeam.clock import Clock
     from hickorybeam.http1.pool import Address
 
-__all__ = ("VmAsker",)
+__all__ = ("VmClient",)
 
 OK = 200
 # A VM that is there answers from memory within some ms; one in another region within 200.
@@ -23,7 +23,7 @@
 CONNECT_MS = 300
 
 
-class VmAsker:
+class VmClient:
     """Asks other VMs, each time on a new connection: an old one may have gone silent."""
 
     def __init__(self, clock: Clock) -> None:
@@ -36,14 +36,14 @@
         """
         try:
             with anyio.fail_after(ANSWER_LIMIT_MS / MS_PER_SECOND):
-                conn = await self._pool.take(address, fresh=True)
+                conn = await self._pool.acquire(address, fresh=True)
                 try:
                     conn.send(request_bytes("GET", path.encode(), ((b"host", b"vm"),), b""))
-                    head = await conn.head()
-                    body = await conn.body()
+                    head = await conn.read_head()
+                    body = await conn.read_body()
                 finally:
                     conn.abort()
-        except (ConnectFailedError, BrokenAnswerError, TimeoutError) as exc:
+        except (ConnectFailedError, BrokenResponseError, TimeoutError) as exc:
             raise GatewayError(ErrorKind.PEER_UNREACHABLE, repr(exc)) from exc
         if head.status != OK:
             raise GatewayError(ErrorKind.PEER_UNREACHABLE, f"status {head.status}")
--- a/tests/steps/gateway/gateway_steps.py
+++ b/tests/steps/gateway/gateway_steps.py
@@ -15,11 +15,11 @@
 from hickorybeam.errors import ErrorKind, GatewayError
 from hickorybeam.gateway.reload import SettingsFile
 from hickorybeam.http1.head import request_bytes
-from hickorybeam.policy.attempt_budget import RepeatBounds
+from hickorybeam.policy.fleet_retry_budget import FleetRetryLimits
 from hickorybeam.settings import load_settings
 from hickorybeam.standins.deployment import HOST, KEYS, caller_headers, first_config
 from hickorybeam.store import KeyValue, Put, WatchBatch
-from support.gateway import drop_key, ran, small_gateway, withdraw_key
+from support.gateway import executed_requests, remove_account, small_gateway, withdraw_key
 
 BODY = b"{}"
 
@@ -275,12 +275,14 @@
 
 @then("no server executed a request")
 def step_nothing_executed(context):
-    assert ran(context.rig) == []
+    assert executed_requests(context.rig) == []
 
 
 @then('servers of "{service}" executed {count:d} requests')
 def step_executed_by_service(context, service, count):
-    assert len(ran(context.rig, service)) == count, ran(context.rig, service)
+    assert len(executed_requests(context.rig, service)) == count, executed_requests(
+        context.rig, service
+    )
 
 
 @then('server "{name}" executed {count:d} requests')
@@ -295,7 +297,7 @@
 
 @then('the server got account "{name}" once and no key')
 def step_account_header(context, name):
-    headers = ran(context.rig)[0].headers
+    headers = executed_requests(context.rig)[0].headers
     told = [value for key, value in headers if key == b"x-hickorybeam-tenant"]
     assert told == [name.encode()], told
     assert not any(key == b"authorization" for key, _ in headers)
@@ -453,7 +455,7 @@
     async def compact():
         rig = context.rig
         store = rig.app.stand_in.store
-        drop_key(rig, name)
+        remove_account(rig, name)
         # Written without notifying the watches, as if their connections were broken.
         store.txn((), (Put("op/config", msgspec.json.encode(rig.config)),))
         store.compact()
@@ -642,7 +644,7 @@
 @then('servers executed requests of "{name}" for at most {limit:d} tokens')
 def step_tokens_executed(context, limit, name):
     name_header = (b"x-hickorybeam-tenant", name.encode())
-    executed = [it for it in ran(context.rig, "model") if name_header in it.headers]
+    executed = [it for it in executed_requests(context.rig, "model") if name_header in it.headers]
     spent = len(executed) * context.tokens
     assert 0 < spent <= limit, spent
 
@@ -694,7 +696,7 @@
         served += reply.status == 200
     # Every executed request was answered: no connection was closed on one that a server had.
     assert served > 0
-    assert len(ran(context.rig, "books")) == served
+    assert len(executed_requests(context.rig, "books")) == served
 
 
 @when('a caller of "{key}" sends "{vm}" a prompt of parts "{parts}"')
@@ -720,7 +722,7 @@
 
 @then("no server received the prompt")
 def step_prompt_not_received(context):
-    assert not ran(context.rig, "model")
+    assert not executed_requests(context.rig, "model")
     assert not any(it.arrivals for it in context.rig.servers.values() if it.service == "model")
 
 
@@ -993,7 +995,7 @@
 
 @then('no request of service "{service}" was executed')
 def step_service_idle(context, service):
-    assert not ran(context.rig, service), ran(context.rig, service)
+    assert not executed_requests(context.rig, service), executed_requests(context.rig, service)
 
 
 @given('nothing listens at the address of server "{name}"')
@@ -1016,7 +1018,7 @@
     handler = context.rig.vms[vm].relay._handler
     for service in ("books", "model"):
         budget = handler._budget(service)
-        budget.change(RepeatBounds(ratio=0.0, allowance=0.0, window_ms=1_000_000))
+        budget.reconfigure(FleetRetryLimits(ratio=0.0, allowance=0.0, window_ms=1_000_000))
         now = SystemClock().now()
         while budget.take(now, 1):
             pass
--- a/tests/steps/policy/load_decisions_steps.py
+++ b/tests/steps/policy/load_decisions_steps.py
@@ -9,21 +9,21 @@
 
 from hickorybeam.errors import ErrorKind, GatewayError, Ran
 from hickorybeam.model import RegionLoad
-from hickorybeam.policy.backend_choice import Candidate, OthersLoad, choose
+from hickorybeam.policy.backend_choice import Candidate, PeerLoad, choose_backend
 from hickorybeam.policy.concurrency import AdaptiveLimit
 from hickorybeam.policy.fair_queue import FairQueue
 from hickorybeam.policy.health import HealthTable
 from hickorybeam.policy.job import Job
 from hickorybeam.policy.profile import profile_named
 from hickorybeam.policy.region_choice import RegionChoice
-from hickorybeam.policy.retry import RetryBudget, may_repeat
-from hickorybeam.policy.shedding import MemoryBound, excess_jobs
+from hickorybeam.policy.retry import RetryBudget, may_retry
+from hickorybeam.policy.shedding import BodyMemoryLimit, jobs_to_shed
 
 COST = 100
 
 
 def job(number, account="a", **more):
-    values = {"served": "m", "cost": COST, "arrived": 0, "deadline": 60_000}
+    values = {"served": "m", "cost": COST, "arrived_ms": 0, "deadline_ms": 60_000}
     return Job(id=number, account=account, **(values | more))
 
 
@@ -41,15 +41,15 @@
                 number = index + (1000 if name == "y" else 0)
                 queue.push(job(number, name, cost=cost, weight=weights[name]), long=False)
         got = {"x": 0.0, "y": 0.0}
-        seen = set()
+        taken = set()
         while (popped := queue.pop(short=True, long=True)) is not None:
-            assert popped.id not in seen
-            seen.add(popped.id)
+            assert popped.id not in taken
+            taken.add(popped.id)
             got[popped.account] += popped.cost / weights[popped.account]
             if queue.backlog_of("x") and queue.backlog_of("y"):
                 most = max(first) / weight + max(second)
                 assert abs(got["x"] - got["y"]) <= most, got
-        assert len(seen) == len(first) + len(second)
+        assert len(taken) == len(first) + len(second)
         assert queue.backlog == 0
 
     check()
@@ -96,10 +96,10 @@
     assert len(set(served)) == 2, served
 
 
-@then('a call that is "{idempotent}" after "{kind}" with ran "{ran}" is sent again: "{again}"')
-def step_repeat(context, idempotent, kind, ran, again):
+@then('a call that is "{idempotent}" after "{kind}" with ran "{ran}" is retried: "{retried}"')
+def step_retry(context, idempotent, kind, ran, retried):
     exc = GatewayError(ErrorKind(kind), ran=Ran(ran))
-    assert may_repeat(exc, idempotent=idempotent == "idempotent") == (again == "yes")
+    assert may_retry(exc, idempotent=idempotent == "idempotent") == (retried == "yes")
 
 
 @then("{calls:d} failing calls make at most {most:d} retries")
@@ -107,7 +107,7 @@
     budget = RetryBudget()
     made = 0
     for _ in range(calls):
-        budget.first_attempt()
+        budget.record_first_attempt()
         made += budget.take()
     assert 0 < made <= most, made
 
@@ -128,29 +128,29 @@
 
 def answer(context, name, ms):
     number = next(context.jobs)
-    context.health.started(name, number, context.now, scale=1.0)
+    context.health.record_start(name, number, context.now, scale=1.0)
     context.now += ms
-    context.health.first_token(name, number, context.now, context.servers)
-    context.health.succeeded(name, context.now)
-    context.health.check(context.now, context.servers)
+    context.health.record_first_token(name, number, context.now, context.servers)
+    context.health.record_success(name, context.now)
+    context.health.update_states(context.now, context.servers)
 
 
 @when("every health server fails {count:d} times")
 def step_all_fail(context, count):
     for _ in range(count):
         for name in context.servers:
-            context.health.failed(name, next(context.jobs), context.now, context.servers)
+            context.health.record_failure(name, next(context.jobs), context.now, context.servers)
 
 
 @when('health server "{name}" fails {count:d} times')
 def step_fails(context, name, count):
     for _ in range(count):
-        context.health.failed(name, next(context.jobs), context.now, context.servers)
+        context.health.record_failure(name, next(context.jobs), context.now, context.servers)
 
 
 @when('health server "{name}" succeeds')
 def step_succeeds(context, name):
-    context.health.succeeded(name, context.now)
+    context.health.record_success(name, context.now)
 
 
 @when('health server "{name}" takes {ms:d} ms for {count:d} first tokens')
@@ -161,40 +161,40 @@
 
 @when('health server "{name}" answers a probe in {ms:d} ms')
 def step_probe(context, name, ms):
-    assert context.health.standing(name).name == "PROBING"
+    assert context.health.state(name).name == "PROBING"
     answer(context, name, ms)
 
 
 @when("{ms:d} health ms pass")
 def step_time(context, ms):
     context.now += ms
-    context.health.check(context.now, context.servers)
+    context.health.update_states(context.now, context.servers)
 
 
 @then("{count:d} health servers are ejected")
 def step_ejected(context, count):
-    standings = [context.health.standing(name).name for name in context.servers]
+    standings = [context.health.state(name).name for name in context.servers]
     assert standings.count("EJECTED") == count, standings
 
 
 @then('health server "{name}" is "{standing}" with weight {weight:g}')
 def step_standing(context, name, standing, weight):
-    found = context.health.standing(name).name, context.health.weight(name, context.now)
+    found = context.health.state(name).name, context.health.weight(name, context.now)
     assert found[0] == standing, found
     # Recent failures still count a little; the base weight is what is stated.
     assert weight * 0.3 <= found[1] <= weight + 1e-9, found
 
 
-@then('health server "{name}" rests and is suspect')
-def step_rests(context, name):
-    assert context.health.is_resting(name, context.now)
+@then('health server "{name}" is backed off from and suspect')
+def step_backed_off(context, name):
+    assert context.health.is_backing_off(name, context.now)
     assert context.health.is_suspect(name)
 
 
 @then('health server "{name}" may be tried')
 def step_may_be_tried(context, name):
-    assert not context.health.is_resting(name, context.now)
-    assert context.health.next_try([name], context.now) == 0
+    assert not context.health.is_backing_off(name, context.now)
+    assert context.health.ms_until_available([name], context.now) == 0
 
 
 @then('health server "{name}" is not suspect')
@@ -208,7 +208,9 @@
         Candidate(name=name, speed=1000.0, tokens=loads.get(name, 1000.0), free=True)
         for name in names
     ]
-    return choose(candidates, cost=COST, prefix=prefix, prompt_tokens=500, rng=random.Random(1))
+    return choose_backend(
+        candidates, cost=COST, prefix=prefix, prompt_tokens=500, rng=random.Random(1)
+    )
 
 
 @then("of {count:d} prefixes over {servers:d} servers only those of a lost server move")
@@ -239,18 +241,18 @@
     assert context.spread == pick(others, "hot")
 
 
-@given("others' load of {now:d} requests over a mean of {mean:d}")
-def step_others(context, now, mean):
-    context.others = OthersLoad()
+@given("peer load of {now:d} requests over a mean of {mean:d}")
+def step_peer_load(context, now, mean):
+    context.peer_load = PeerLoad()
     for at in range(200):
-        context.others.heard(mean, mean * 100, at)
-    context.others.heard(now, now * 100, 1000)
+        context.peer_load.update(mean, mean * 100, at)
+    context.peer_load.update(now, now * 100, 1000)
 
 
-@then("others' load is near {now:d} at once and near the mean after {ms:d} ms")
+@then("peer load is near {now:d} at once and near the mean after {ms:d} ms")
 def step_faded(context, now, ms):
-    assert abs(context.others.at(1000)[0] - now) < 0.1
-    assert context.others.at(1000 + ms)[0] < 3.5
+    assert abs(context.peer_load.at(1000)[0] - now) < 0.1
+    assert context.peer_load.at(1000 + ms)[0] < 3.5
 
 
 @given("adaptive limits of {one:d} and {other:d} at an engine of {slots:d} slots")
@@ -263,18 +265,18 @@
 def step_adapt(context):
     now = 0
     for limit in context.limits:
-        limit.first_token(30.0, now, at_server=0)
+        limit.record_first_token(30.0, now, in_flight=0)
     for _ in range(3_000):
         now += 20
-        used = sum(limit.allowed for limit in context.limits)
+        used = sum(limit.max_in_flight for limit in context.limits)
         time = 30.0 + 120.0 * max(0, used - context.slots)
         for limit in context.limits:
-            limit.first_token(time, now, at_server=limit.allowed)
+            limit.record_first_token(time, now, in_flight=limit.max_in_flight)
 
 
 @then("the adaptive limits differ by at most {most:d} and use at least {least:d} slots")
-def step_settle(context, most, least):
-    allowed = [limit.allowed for limit in context.limits]
+def step_converged(context, most, least):
+    allowed = [limit.max_in_flight for limit in context.limits]
     assert abs(allowed[0] - allowed[1]) <= most, allowed
     assert sum(allowed) >= least, allowed
 
@@ -295,25 +297,25 @@
     load = RegionLoad(
         region=region, served="m", wait_ms=wait, free_tokens=free, at_ms=context.now - age
     )
-    context.regions.heard([load], job_cost=COST)
+    context.regions.update_loads([load], job_cost=COST)
 
 
 @when('region "{region}" fails a call')
 def step_region_fails(context, region):
-    context.regions.failed(region, context.now)
+    context.regions.record_failure(region, context.now)
 
 
 @when('region "{region}" reports again {ms:d} ms later with {free:d} free tokens')
 def step_region_again(context, region, ms, free):
     context.now += ms
     load = RegionLoad(region=region, served="m", wait_ms=0, free_tokens=free, at_ms=context.now)
-    context.regions.heard([load], job_cost=COST)
+    context.regions.update_loads([load], job_cost=COST)
 
 
 @then('a job with local wait {wait:d} ms allowed in "{allowed}" goes to "{choice}"')
 def step_region_choice(context, wait, allowed, choice):
     one = job(1, regions=frozenset(allowed.split()))
-    found = context.regions.choose(one, local_wait=wait, now=context.now)
+    found = context.regions.choose(one, local_wait_ms=wait, now=context.now)
     assert (found or "here") == choice, found
 
 
@@ -323,21 +325,21 @@
     for report in range(len(counts.split())):
         now = 10_000 + 500 * report
         load = RegionLoad(region=region, served="m", wait_ms=0, free_tokens=90_000, at_ms=now)
-        context.regions.heard([load], job_cost=COST)
+        context.regions.update_loads([load], job_cost=COST)
         count = 0
         one = job(1, regions=frozenset({"a", region}))
-        while context.regions.choose(one, local_wait=9_000, now=now) and count < 100:
-            context.regions.sent(one, region, now)
+        while context.regions.choose(one, local_wait_ms=9_000, now=now) and count < 100:
+            context.regions.record_sent(one, region, now)
             count += 1
         sent.append(str(count))
     assert sent == counts.split(), sent
 
 
 @given(
-    "a shedding queue of a large account with a long, a low-priority and a plain job and a "
+    "a fair queue of a large account with a long, a low-priority and a plain job and a "
     "small account with one job"
 )
-def step_shedding(context):
+def step_two_accounts(context):
     context.queue = FairQueue()
     context.names = {1: "large-plain", 2: "large-long", 3: "large-low", 4: "small"}
     context.queue.push(job(1, "large"), long=False)
@@ -346,22 +348,22 @@
     context.queue.push(job(4, "small", cost=50), long=False)
 
 
-@then('jobs are given up in the order "{order}"')
+@then('jobs are shed in the order "{order}"')
 def step_order(context, order):
-    given_up = [context.names[one.id] for one in excess_jobs(context.queue, keep=0)]
-    assert given_up == order.split(), given_up
+    shed = [context.names[one.id] for one in jobs_to_shed(context.queue, max_backlog_tokens=0)]
+    assert shed == order.split(), shed
 
 
-@given("memory for bodies of {size:d} bytes")
+@given("memory for request bodies of {size:d} bytes")
 def step_memory(context, size):
-    context.memory = MemoryBound(size)
+    context.memory = BodyMemoryLimit(size)
 
 
 @when('account "{account}" holds as many bodies of {size:d} bytes as fit')
 def step_hold(context, account, size):
     context.held = 0
     while context.memory.fits(account, size):
-        context.memory.hold(account, size)
+        context.memory.reserve(account, size)
         context.held += size
 
 
