--- a/src/hickorybeam/gateway/cold_health_checks.py
+++ b/src/hickorybeam/gateway/cold_health_checks.py
@@ -100,10 +100,10 @@
         conn = await self._pool.acquire(address)
         try:
             conn.send(request_bytes("GET", health_path.encode(), HOST_HEADER, b""))
-            facts = decode_response(await conn.read_head())
+            info = decode_response(await conn.read_head())
             await conn.read_body()
         except BaseException:
             conn.abort()
             raise
         self._pool.release(address, conn)
-        return facts.cold_ms
+        return info.cold_ms
--- a/src/hickorybeam/gateway/relay.py
+++ b/src/hickorybeam/gateway/relay.py
@@ -158,14 +158,14 @@
         """
         began_ms = self._clock.now()
         self._leaving = True
-        times = shutdown_times(self._gateway)
-        end_ms = began_ms + times.finish_by_ms
+        schedule = shutdown_times(self._gateway)
+        end_ms = began_ms + schedule.finish_by_ms
         for server in self._servers:
             server.closing = True
         await self._fleet.announce_leaving()
-        await self._sleep_until(began_ms + times.accept_all_until_ms)
+        await self._sleep_until(began_ms + schedule.accept_all_until_ms)
         self._handler.accept_until(round(end_ms))
-        await self._sleep_until(began_ms + times.accept_until_ms)
+        await self._sleep_until(began_ms + schedule.accept_until_ms)
         self._handler.drain()
         for server in self._servers:
             server.stop_accepting()
@@ -191,7 +191,10 @@
         self._counters.refusals.labels(f"malformed_{status}").inc()
 
     async def _serve_peer(self, req: IncomingRequest, reply: ResponseWriter) -> None:
-        """Serve the peers' port: requests forwarded by another region's VM, metrics, changes."""
+        """Serve the peers' port: requests forwarded by another region's VM, metrics, changes.
+
+        A forwarded request is run by a server of this region.
+        """
         if req.target == METRICS_PATH:
             reply.send(200, METRICS_HEADERS, self._counters.text())
             return
@@ -247,15 +250,15 @@
 
     def _vms_by_phase(self, region: str) -> RegionVms:
         """Return a region's VMs by what they still accept."""
-        times = shutdown_times(self._gateway)
+        schedule = shutdown_times(self._gateway)
         leaving = self._fleet.leaving_vms(region)
         return RegionVms(
             serving=self._fleet.region_vms(region),
-            draining=[vm for vm, for_ms in leaving if for_ms < times.accept_all_until_ms],
+            draining=[vm for vm, for_ms in leaving if for_ms < schedule.accept_all_until_ms],
             draining_short_only=[
                 vm
                 for vm, for_ms in leaving
-                if times.accept_all_until_ms <= for_ms < times.accept_until_ms
+                if schedule.accept_all_until_ms <= for_ms < schedule.accept_until_ms
             ],
         )
 
--- a/src/hickorybeam/gateway/routing_state.py
+++ b/src/hickorybeam/gateway/routing_state.py
@@ -30,7 +30,7 @@
         self.evacuated_data_centres: frozenset[str] = frozenset()
         self._by_service: dict[str, dict[str, ServerState]] = {}
         self._cold_until: dict[str, int] = {}
-        self._cold_limits: dict[str, ColdServerLimiter] = {}
+        self._cold_limiters: dict[str, ColdServerLimiter] = {}
 
     def caller_limits(self) -> CallerLimits:
         """Return the limits on callers' requests that are in force."""
@@ -70,7 +70,7 @@
         if self._remove(server_id):
             logging.info("server %s removed", server_id)
             self._cold_until.pop(server_id, None)
-            self._cold_limits.pop(server_id, None)
+            self._cold_limiters.pop(server_id, None)
 
     def mark_cold(self, server_id: str, cold_ms: int, now_ms: int) -> None:
         """Record that a server stays cold for at least this long from now on."""
@@ -84,14 +84,14 @@
 
     def cold_limit(self, server: RegisteredServer, now_ms: int) -> ColdServerLimiter:
         """Return the rate limiter of this VM's requests to a cold server."""
-        limit = self._cold_limits.get(server.id)
-        if limit is None:
+        limiter = self._cold_limiters.get(server.id)
+        if limiter is None:
             spec = self.config.services.get(server.service) if self.config else None
-            per_s = spec.cold_per_s if spec else 0.0
-            limit = self._cold_limits[server.id] = ColdServerLimiter(
-                rate_per_s=per_s, now_ms=now_ms
+            rate_per_s = spec.cold_per_s if spec else 0.0
+            limiter = self._cold_limiters[server.id] = ColdServerLimiter(
+                rate_per_s=rate_per_s, now_ms=now_ms
             )
-        return limit
+        return limiter
 
     def available_servers(self, service: str) -> list[ServerState]:
         """Return the available servers of a service."""
--- a/src/hickorybeam/gateway/usage_reporting.py
+++ b/src/hickorybeam/gateway/usage_reporting.py
@@ -91,7 +91,7 @@
             for server, usage in usages.items():
                 totals[server] = add_usage(totals.get(server, NO_USAGE), usage)
     for name, state in routing_state.server_states.items():
-        running, reading, holding = totals.get(name, NO_USAGE)
-        state.peer_requests = running
-        state.peer_prefill_tokens = reading
-        state.peer_held_tokens = holding
+        requests, prefill_tokens, held_tokens = totals.get(name, NO_USAGE)
+        state.peer_requests = requests
+        state.peer_prefill_tokens = prefill_tokens
+        state.peer_held_tokens = held_tokens
