--- a/tests/policy/share_parts.feature
+++ b/tests/policy/share_parts.feature
@@ -1,72 +1,72 @@
-Feature: buckets, loans and fractions, one safeguard at a time
+Feature: buckets, loans and shares, one safeguard at a time
 
   Scenario: a refund is limited by the room that the bucket had since the admission
-    # Requests run for long and use nothing. Given back in full, their refunds would pay for
-    # a burst of their own, on top of one that was refilled in the meantime.
+    # Long requests use nothing of their cost. Refunds in full would allow a second burst beside
+    # the one refilled in the meantime.
     Given a share bucket of capacity 100 and rate 10, full
     When 100 tokens are taken from the share bucket as admission 1
     And 10000 ms pass for the share bucket
     And 100 tokens are taken from the share bucket as admission 2
-    And 100 tokens of admission 1 come back to the share bucket
+    And 100 tokens of admission 1 are refunded to the share bucket
     Then the share bucket holds 0 tokens
-    When 60 tokens of admission 2 come back to the share bucket
+    When 60 tokens of admission 2 are refunded to the share bucket
     Then the share bucket holds 60 tokens
 
-  Scenario: a borrower drops a loan in time, counted from its own request
-    # The grant is slow on its way. Counted from its arrival, the loan would still be spent
-    # after the lender has its capacity back.
-    Given a share borrower with a loan of 50 tokens for 2000 ms, asked for at 0 and received at 1500
+  Scenario: a loan's duration counts from the borrower's request
+    # The grant arrives late. If its duration counted from the arrival, the loan would still be
+    # spent after the lender has its capacity back.
+    Given a share borrower with a loan of 50 tokens for 2000 ms, requested at 0 and received at 1500
     Then the share borrower has 50 tokens at 1999
     And the share borrower has 0 tokens at 2000
 
-  Scenario: a lender's capacity comes back late, and only once
+  Scenario: a lender gets its capacity back late, and only once
     Given a share lender with a full bucket of 100 and rate 1000 that lent 60 and 40 tokens for 2000 ms at 0
     Then the share lender's bucket holds 0 tokens at 2999
-    When the share lender hears twice at 2999 that loan 1 left 60 tokens
+    When the share lender receives two reports at 2999 that loan 1 has 60 tokens left
     Then the share lender's bucket holds 60 tokens at 2999
     And the share lender's bucket holds 60 tokens at 5000
     And the share lender's bucket holds 100 tokens at 5040
 
-  Scenario: a lowered burst shrinks the loans that were granted before it
-    Given a share borrower with a loan of 50 tokens for 2000 ms, asked for at 0 and received at 100
+  Scenario: a lowered burst shrinks loans granted before
+    Given a share borrower with a loan of 50 tokens for 2000 ms, requested at 0 and received at 100
     When the share borrower's account is lowered to a tenth of its burst
     Then the share borrower has 5 tokens at 200
 
-  Scenario: nothing grows back while a lost write may still land
-    # The write that gives 400 parts away was not answered. Read back, the ledger still shows
-    # them here; used again, they would be used twice when the write lands after all.
+  Scenario: a share doesn't grow while a lost write may still take effect
+    # The write that transfers 400000 parts got no response, and a read still shows them at their
+    # giver. Used again, they would be used twice if the write takes effect after all.
     Given a share group in which "me" holds 1000000 parts at revision 5
-    When "me" writes 400000 parts to "other" and gets no answer
+    When "me" transfers 400000 parts to "other" in a write that gets no response
     And the share group is read unchanged at revision 5
-    Then "me" acts on 600000 parts
+    Then "me" may use 600000 parts
     When the share group is read unchanged at revision 6
-    Then "me" acts on 1000000 parts
+    Then "me" may use 1000000 parts
 
-  Scenario Outline: fractions of a dead holder pass within its data centre only
+  Scenario Outline: a dead holder's share is taken over within its data centre only
     Given a share group in which "dead" of data centre "a" holds 1000000 parts
     When "me" of data centre "<data centre>" takes over from "dead"
-    Then the share group shows <parts> parts for "me"
+    Then the share group holds <parts> parts for "me"
 
     Examples:
       | data centre | parts   |
       | a           | 1000000 |
       | b           | 0       |
 
-  Scenario: parts that open loans occupy are not given away
+  Scenario: parts that open loans occupy are not transferred
     Given a share group in which "me" holds 1000000 parts at revision 5
-    When "me" plans for a borrower that takes the whole rate, with 900000 parts under loans
+    When "me" plans transfers to a borrower of the whole rate, with 900000 parts under loans
     Then the plan leaves "me" at least 900000 parts
 
-  Scenario Outline: a neighbour is taken over from only when it surely holds nothing any more
-    # Its lease lapsed at 0. Membership may still hear it, it may hold a promise, and the loans
-    # that it granted right before may still be spent elsewhere.
-    Given a share take-over watch that waits 3000 ms
-    And the share take-over watch promised at 0 not to take over for <promise> ms
-    When the share take-over watch looks every 500 ms until <until>, hearing the holder until <heard>
-    Then the share take-over watch says <verdict>
+  Scenario Outline: a neighbour's share is taken over only once it surely can't be spent
+    # Its lease expired at 0. It may still be live, this VM may have promised it not to take over,
+    # and loans that it granted just before may still be spent elsewhere.
+    Given a share take-over monitor that waits 3000 ms
+    And the share take-over monitor promised at 0 not to take over for <promise> ms
+    When the share take-over monitor observes the holder every 500 ms until <until>, live until <live>
+    Then the share take-over monitor decides <verdict>
 
     Examples:
-      | promise | heard | until | verdict    |
+      | promise | live  | until | verdict    |
       | 0       | 0     | 2500  | leave it   |
       | 0       | 0     | 3500  | take over  |
       | 0       | 4000  | 4000  | leave it   |
--- a/tests/steps/policy/once_machine.py
+++ b/tests/steps/policy/once_machine.py
@@ -1,8 +1,8 @@
-"""State machine over the key table and the claims of three VMs, with an oracle.
+"""State machine over the key tables and claims of three VMs, with an oracle.
 
-Each attempt is a list of small steps that interleave in any order: begin, write the claim,
-read it back, run, write the outcome. Writes land late or never, answers are lost, VMs die.
-The oracle counts executions of each key and checks every refusal that said "not run".
+Each attempt is a sequence of small steps that interleave with others in any order: begin, write
+the claim, read it back, run, write the outcome. Writes take effect late or never, responses are
+lost, VMs die. The oracle counts the executions of each key and checks every refusal as "not run".
 """
 
 from __future__ import annotations
@@ -30,90 +30,93 @@
 
 
 @dataclass
-class Try:
-    """One attempt: which step it is at, and what it holds."""
+class Attempt:
+    """One attempt: its next step, the claim's revision it knows, and whether it ran."""
 
     vm: int
-    generation: int
+    incarnation: int
     key: str
     content: str
-    number: int
-    step: str = "claim"
+    id: int
+    next_step: str = "claim"
     revision: int = 0
     ran: bool = False
 
 
-class OnceMachine(RuleBasedStateMachine):
-    """Attempts of callers at three VMs, claims in one platform."""
+class IdempotencyMachine(RuleBasedStateMachine):
+    """Attempts of callers at three VMs, with claims at one platform."""
 
     def __init__(self):
         super().__init__()
         self.revision = 0
         self.store = {}
-        self.late = []
-        self.tries = []
-        self.count = 0
-        self.generations = [0, 0, 0]
-        self.tables = [self.table() for _ in range(3)]
+        self.delayed_writes = []
+        self.attempts = []
+        self.attempt_count = 0
+        self.incarnations = [0, 0, 0]
+        self.tables = [self.new_table() for _ in range(3)]
         self.executions = dict.fromkeys(KEYS, 0)
-        self.contents = {key: set() for key in KEYS}
-        self.wrong = []
+        self.executed_contents = {key: set() for key in KEYS}
+        self.false_refusals = []
 
-    def table(self):
+    def new_table(self):
         return IdempotencyKeyTable(limit=10, answer_bytes=100)
 
-    def me(self, attempt):
-        return VmId(f"vm{attempt.vm}", str(attempt.generation))
+    def own_vm(self, attempt):
+        return VmId(f"vm{attempt.vm}", str(attempt.incarnation))
 
     def alive(self, vm):
-        return str(self.generations[int(vm.name[2:])]) == vm.incarnation
+        return str(self.incarnations[int(vm.name[2:])]) == vm.incarnation
 
-    def running(self, step):
+    def attempts_at(self, next_step):
         return [
             one
-            for one in self.tries
-            if one.step == step and one.generation == self.generations[one.vm]
+            for one in self.attempts
+            if one.next_step == next_step and one.incarnation == self.incarnations[one.vm]
         ]
 
     def refuse(self, attempt, kind):
-        """Note a refusal; one that says "not run" must be right for this content."""
-        attempt.step = "refused"
+        """Record a refusal; one as "not run" must be right for this content."""
+        attempt.next_step = "refused"
         if ANSWERS[kind].ran is Ran.NO and kind is not ErrorKind.IDEMPOTENCY_MISMATCH:
-            self.wrong.append((attempt.key, kind)) if attempt.ran else None
-        if kind is ErrorKind.IDEMPOTENCY_MISMATCH and attempt.content in self.contents[attempt.key]:
-            self.wrong.append((attempt.key, kind))
+            self.false_refusals.append((attempt.key, kind)) if attempt.ran else None
+        if (
+            kind is ErrorKind.IDEMPOTENCY_MISMATCH
+            and attempt.content in self.executed_contents[attempt.key]
+        ):
+            self.false_refusals.append((attempt.key, kind))
 
     @rule(vm=st.integers(0, 2), key=st.sampled_from(KEYS), content=st.sampled_from(("a", "a", "b")))
     def begin(self, vm, key, content):
-        self.count += 1
-        attempt = Try(vm, self.generations[vm], key, content, self.count)
+        self.attempt_count += 1
+        attempt = Attempt(vm, self.incarnations[vm], key, content, self.attempt_count)
         decision = self.tables[vm].begin(key, content, 0, expires_ms=FOR_EVER_MS)
         match decision:
             case Start():
-                self.tries.append(attempt)
+                self.attempts.append(attempt)
             case Replay():
-                assert content in self.contents[key], "a replay of another call's answer"
+                assert content in self.executed_contents[key], "a replay of another call's response"
             case Refused(kind=kind):
                 self.refuse(attempt, kind)
 
-    @precondition(lambda self: self.running("claim"))
-    @rule(pick=PICK, fate=st.sampled_from(("answered", "answer lost", "late", "never")))
-    def write_claim(self, pick, fate):
+    @precondition(lambda self: self.attempts_at("claim"))
+    @rule(pick=PICK, outcome=st.sampled_from(("response", "response lost", "late", "never")))
+    def write_claim(self, pick, outcome):
         attempt = self.pick("claim", pick)
-        claim = Claim(owner=self.me(attempt), attempt=str(attempt.number), content=attempt.content)
+        claim = Claim(owner=self.own_vm(attempt), attempt=str(attempt.id), content=attempt.content)
         write = (attempt.key, attempt.revision, claim)
-        attempt.step = "read"
-        match fate:
-            case "answered":
-                if self.land(write):
+        attempt.next_step = "read"
+        match outcome:
+            case "response":
+                if self.apply_write(write):
                     attempt.revision = self.revision
-                    attempt.step = "run"
-            case "answer lost":
-                self.land(write)
+                    attempt.next_step = "run"
+            case "response lost":
+                self.apply_write(write)
             case "late":
-                self.late.append(write)
+                self.delayed_writes.append(write)
 
-    def land(self, write):
+    def apply_write(self, write):
         key, revision, claim = write
         if self.store.get(key, (0, None))[0] != revision:
             return False
@@ -121,27 +124,27 @@
         self.store[key] = (self.revision, claim)
         return True
 
-    @precondition(lambda self: self.late)
+    @precondition(lambda self: self.delayed_writes)
     @rule(pick=PICK)
-    def land_late(self, pick):
-        self.land(self.late.pop(pick % len(self.late)))
+    def late_write_takes_effect(self, pick):
+        self.apply_write(self.delayed_writes.pop(pick % len(self.delayed_writes)))
 
-    @precondition(lambda self: self.running("read"))
+    @precondition(lambda self: self.attempts_at("read"))
     @rule(pick=PICK)
     def read_back(self, pick):
         attempt = self.pick("read", pick)
         revision, claim = self.store.get(attempt.key, (0, None))
         attempt.revision = revision
-        attempt.step = "claim"
+        attempt.next_step = "claim"
         if claim is None:
             return
-        if (claim.owner, claim.attempt) == (self.me(attempt), str(attempt.number)):
-            attempt.step = "run"
+        if (claim.owner, claim.attempt) == (self.own_vm(attempt), str(attempt.id)):
+            attempt.next_step = "run"
             return
         verdict = decide_claim(
             claim,
-            me=self.me(attempt),
-            attempt=str(attempt.number),
+            me=self.own_vm(attempt),
+            attempt=str(attempt.id),
             content=attempt.content,
             owner_alive=self.alive(claim.owner),
         )
@@ -149,15 +152,15 @@
             self.tables[attempt.vm].release(attempt.key)
             self.refuse(attempt, verdict.kind)
 
-    @precondition(lambda self: self.running("claim") or self.running("read"))
+    @precondition(lambda self: self.attempts_at("claim") or self.attempts_at("read"))
     @rule(pick=PICK)
     def give_up(self, pick):
-        """The platform is out: refused as not run; its claim may still land."""
-        attempt = self.pick("claim" if self.running("claim") else "read", pick)
+        """Refuse as not run while the platform is unavailable; the claim may still be written."""
+        attempt = self.pick("claim" if self.attempts_at("claim") else "read", pick)
         self.tables[attempt.vm].release(attempt.key)
         self.refuse(attempt, ErrorKind.PLATFORM_OUT)
 
-    @precondition(lambda self: self.running("run"))
+    @precondition(lambda self: self.attempts_at("run"))
     @rule(pick=PICK, outcome=st.sampled_from(("finished", "unknown", "not run")))
     def run_call(self, pick, outcome):
         attempt = self.pick("run", pick)
@@ -168,7 +171,7 @@
             self.refuse(attempt, ErrorKind.OVERLOADED)
         else:
             self.executions[attempt.key] += 1
-            self.contents[attempt.key].add(attempt.content)
+            self.executed_contents[attempt.key].add(attempt.content)
             attempt.ran = True
         if outcome == "finished":
             table.finish(attempt.key, 201, ("answer",), 60)
@@ -176,23 +179,23 @@
         elif outcome == "unknown":
             table.mark_unknown(attempt.key)
             state = ClaimState.UNKNOWN
-        attempt.step = "settle" if state else "free"
+        attempt.next_step = "settle" if state else "free"
         attempt.state = state
 
-    @precondition(lambda self: self.running("settle") or self.running("free"))
-    @rule(pick=PICK, reaches=st.booleans())
-    def settle(self, pick, reaches):
-        attempt = self.pick("settle" if self.running("settle") else "free", pick)
-        step, attempt.step = attempt.step, "done"
-        if not reaches or self.store.get(attempt.key, (0, None))[0] != attempt.revision:
+    @precondition(lambda self: self.attempts_at("settle") or self.attempts_at("free"))
+    @rule(pick=PICK, written=st.booleans())
+    def settle(self, pick, written):
+        attempt = self.pick("settle" if self.attempts_at("settle") else "free", pick)
+        next_step, attempt.next_step = attempt.next_step, "done"
+        if not written or self.store.get(attempt.key, (0, None))[0] != attempt.revision:
             return
         self.revision += 1
-        if step == "free":
+        if next_step == "free":
             del self.store[attempt.key]
             return
         claim = Claim(
-            owner=self.me(attempt),
-            attempt=str(attempt.number),
+            owner=self.own_vm(attempt),
+            attempt=str(attempt.id),
             content=attempt.content,
             state=attempt.state,
             status=201,
@@ -201,14 +204,14 @@
 
     @rule(vm=st.integers(0, 2))
     def crash(self, vm):
-        self.generations[vm] += 1
-        self.tables[vm] = self.table()
+        self.incarnations[vm] += 1
+        self.tables[vm] = self.new_table()
 
-    def pick(self, step, pick):
-        found = self.running(step)
+    def pick(self, next_step, pick):
+        found = self.attempts_at(next_step)
         return found[pick % len(found)]
 
     @invariant()
     def ran_at_most_once(self):
         assert all(count <= 1 for count in self.executions.values()), self.executions
-        assert not self.wrong, self.wrong
+        assert not self.false_refusals, self.false_refusals
--- a/tests/steps/policy/share_parts_steps.py
+++ b/tests/steps/policy/share_parts_steps.py
@@ -11,8 +11,8 @@
     GroupShares,
     Holder,
     HolderParts,
-    transfer_parts,
     take_over,
+    transfer_parts,
 )
 from hickorybeam.policy.spending_lease import TakeOverMonitor
 from hickorybeam.policy.token_bucket import TokenBucket
@@ -38,7 +38,7 @@
     context.now += ms
 
 
-@when("{tokens:d} tokens of admission {admission:d} come back to the share bucket")
+@when("{tokens:d} tokens of admission {admission:d} are refunded to the share bucket")
 def step_refund(context, tokens, admission):
     context.bucket.refund(tokens, context.now, admission)
 
@@ -50,7 +50,7 @@
 
 @given(
     "a share borrower with a loan of {tokens:d} tokens for {ms:d} ms, "
-    "asked for at {sent:d} and received at {at:d}"
+    "requested at {sent:d} and received at {at:d}"
 )
 def step_borrower(context, tokens, ms, sent, at):
     context.borrower = Borrower()
@@ -79,8 +79,10 @@
         context.lender.grant("acme", context.bucket, tokens, 0, burst=BURST)
 
 
-@when("the share lender hears twice at {at:d} that loan {number:d} left {left:d} tokens")
-def step_closed_twice(context, at, number, left):
+@when(
+    "the share lender receives two reports at {at:d} that loan {number:d} has {left:d} tokens left"
+)
+def step_reported_twice(context, at, number, left):
     for _ in range(2):
         context.lender.close(ClosedLoan(number, left), {"acme": context.bucket}, at)
 
@@ -108,7 +110,7 @@
     context.shares.apply_read(revision, context.ledger)
 
 
-@when('"{name}" writes {parts:d} parts to "{other}" and gets no answer')
+@when('"{name}" transfers {parts:d} parts to "{other}" in a write that gets no response')
 def step_lost_write(context, name, parts, other):
     planned = transfer_parts(context.ledger, holder(name), holder(other), "acme", parts)
     context.shares.shrink_to(planned)
@@ -120,8 +122,8 @@
     context.shares.apply_read(revision, context.ledger)
 
 
-@then('"{name}" acts on {parts:d} parts')
-def step_acts(context, name, parts):
+@then('"{name}" may use {parts:d} parts')
+def step_may_use(context, name, parts):
     assert context.shares.usable_parts("acme") == parts, context.shares.usable_parts("acme")
 
 
@@ -130,22 +132,29 @@
     context.ledger = take_over(context.ledger, holder(name, data_centre), holder(dead))
 
 
-@then('the share group shows {parts:d} parts for "{name}"')
-def step_shows(context, parts, name):
+@then('the share group holds {parts:d} parts for "{name}"')
+def step_holds_parts(context, parts, name):
     assert context.ledger.parts(VmId(name, "1"), "acme") == parts
 
 
-@when('"{name}" plans for a borrower that takes the whole rate, with {keep:d} parts under loans')
-def step_plan(context, name, keep):
+@when(
+    '"{name}" plans transfers to a borrower of the whole rate, with {reserved:d} parts under loans'
+)
+def step_plan(context, name, reserved):
     borrower = holder("borrower", "b")
-    demand = AccountDemand(account_rate=100.0, lent_rates={borrower: 100.0}, reserved_parts=keep)
+    demand = AccountDemand(
+        account_rate=100.0, lent_rates={borrower: 100.0}, reserved_parts=reserved
+    )
     planned = (holder(name), borrower)
     ledger = context.ledger
     for _ in range(20):
         ledger = plan_transfers(ledger, holder(name), planned, {"acme": demand}, floor=0.05)
     context.plan = ledger
     assert ledger.parts(borrower.vm, "acme") > 0
-    assert ledger.parts(holder(name).vm, "acme") + ledger.parts(borrower.vm, "acme") == PARTS_PER_ACCOUNT
+    assert (
+        ledger.parts(holder(name).vm, "acme") + ledger.parts(borrower.vm, "acme")
+        == PARTS_PER_ACCOUNT
+    )
 
 
 @then('the plan leaves "{name}" at least {parts:d} parts')
@@ -154,27 +163,27 @@
     assert left >= parts, left
 
 
-@given("a share take-over watch that waits {ms:d} ms")
-def step_watch(context, ms):
-    context.watch = TakeOverMonitor(settle_ms=ms)
+@given("a share take-over monitor that waits {ms:d} ms")
+def step_monitor(context, ms):
+    context.monitor = TakeOverMonitor(settle_ms=ms)
 
 
-@given("the share take-over watch promised at 0 not to take over for {ms:d} ms")
+@given("the share take-over monitor promised at 0 not to take over for {ms:d} ms")
 def step_promised(context, ms):
     if ms:
-        context.watch.promise("holder", 0, ms)
+        context.monitor.promise("holder", 0, ms)
 
 
 @when(
-    "the share take-over watch looks every {every:d} ms until {until:d}, "
-    "hearing the holder until {heard:d}"
+    "the share take-over monitor observes the holder every {every:d} ms until {until:d}, "
+    "live until {live_until:d}"
 )
-def step_looks(context, every, until, heard):
+def step_observes(context, every, until, live_until):
     for now in range(0, until + 1, every):
-        is_heard = bool(heard) and now <= heard
-        context.verdict = context.watch.observe("holder", now, lease_lapsed=True, alive=is_heard)
+        is_live = bool(live_until) and now <= live_until
+        context.verdict = context.monitor.observe("holder", now, lease_lapsed=True, alive=is_live)
 
 
-@then("the share take-over watch says {verdict}")
+@then("the share take-over monitor decides {verdict}")
 def step_verdict(context, verdict):
     assert context.verdict is (verdict == "take over")
