--- a/tests/policy/fleet_quota_far.feature
+++ b/tests/policy/fleet_quota_far.feature
@@ -1,11 +1,12 @@
-Feature: an account's rate holds over a fleet of hundreds, whose words are far apart
+Feature: an account's rate holds over a fleet of hundreds, whose status reports are far apart
 
-  Scenario Outline: a hot account is held to its rate by a fleet whose words are far apart
-    # Words between data centres are 1.5 s apart in a fleet of hundreds. Taken for silence, the
-    # spends that they told went uncounted, and the account got nearly twice its rate.
-    Given <vms> VMs in 6 data centres that tell each other what such a fleet tells
-    When the account sends <times> times its rate for 14 s, at VMs by chance
-    Then no window of 8 s spends more than 1.1 times rate and burst and the allowance besides
+  Scenario Outline: an account in excess is limited by a fleet whose reports are far apart
+    # Reports between data centres are 1.5 s apart in a fleet of hundreds. If that counted as a
+    # missed report, the spending in them would go uncounted, and the account would get nearly
+    # twice its rate.
+    Given <vms> VMs in 6 data centres that report to each other at such a fleet's intervals
+    When the account sends <times> times its rate for 14 s, at random VMs
+    Then no window of 8 s spends over 1.1 times rate and burst plus the allowance
 
     Examples:
       | vms | times |
@@ -13,11 +14,11 @@
       | 195 | 4     |
       | 64  | 4     |
 
-  Scenario Outline: a hot account is held to its rate while VMs of a large fleet are cut off
-    # Until each side notices, both would spend whole rates.
-    Given 195 VMs in 6 data centres that tell each other what such a fleet tells
-    When 68 VMs hear nobody for the last 8 of 14 s of <times> times its rate
-    Then no window of 8 s spends more than 1.1 times rate and burst and the allowance besides
+  Scenario Outline: an account in excess is limited while VMs of a large fleet are isolated
+    # Until each side notices the partition, both would spend whole rates.
+    Given 195 VMs in 6 data centres that report to each other at such a fleet's intervals
+    When 68 VMs are isolated for the last 8 of 14 s of <times> times its rate
+    Then no window of 8 s spends over 1.1 times rate and burst plus the allowance
 
     Examples:
       | times |
--- a/tests/policy/shutdown.feature
+++ b/tests/policy/shutdown.feature
@@ -1,16 +1,16 @@
-Feature: what a VM that shuts down still takes
+Feature: which requests a VM that shuts down still accepts
 
-  # What a caller sees: its stream is cut in the middle, by a VM that took it late in its grace
-  # period. Everything is taken at first, while callers hold lists that name the VM; then only what
-  # ends before the process does; then nothing.
-  Scenario Outline: of a grace period of 8 s
-    Then <since> ms after it began a request with <left> ms left surely ends there: <ends>
+  # A request accepted late in the grace period would have its stream cut off in the middle. All
+  # requests are accepted at first, while callers hold lists that name the VM; then only those that
+  # end before the process does; then none.
+  Scenario Outline: requests during a grace period of 8 s
+    Then <since> ms after the start a request with <left> ms left is accepted: <accepted>
 
     Examples:
-      | since | left  | ends |
-      | 0     | 7600  | yes  |
-      | 0     | 7601  | no   |
-      | 1000  | 3000  | yes  |
-      | 4500  | 3000  | yes  |
-      | 4500  | 3200  | no   |
-      | 4600  | 100   | no   |
+      | since | left  | accepted |
+      | 0     | 7600  | yes      |
+      | 0     | 7601  | no       |
+      | 1000  | 3000  | yes      |
+      | 4500  | 3000  | yes      |
+      | 4500  | 3200  | no       |
+      | 4600  | 100   | no       |
--- a/tests/steps/policy/fleet_quota_steps.py
+++ b/tests/steps/policy/fleet_quota_steps.py
@@ -18,80 +18,84 @@
 
 
 class Fleet:
-    """VMs in one loop of 5 ms steps; every spend goes into one list, the oracle."""
+    """VMs in one loop of 5 ms steps; the oracle is a list of all admitted spends."""
 
-    def __init__(self, size, every_ms):
+    def __init__(self, size, interval_ms):
         self.now = 1_000
-        self.every_ms = every_ms
+        self.interval_ms = interval_ms
         self.size = size
         self.vms = [FleetQuota() for _ in range(size)]
         self.started = [self.now] * size
-        self.lives = [0] * size
-        self.groups = [0] * size
+        self.incarnations = [0] * size
+        self.partitions = [0] * size
         self.spends = []
-        self.asked = 0
+        self.request_count = 0
         for vm in self.vms:
             vm.configure([terms()], self.now)
         self.run(2_000)
 
-    def talk(self, index):
+    def report(self, index):
         me = self.vms[index]
-        heard = [i for i in range(self.size) if self.groups[i] == self.groups[index]]
-        for i in heard:
-            if i != index:
-                younger = self.started[index] > self.started[i]
-                life = f"{index}/{self.lives[index]}"
-                self.vms[i].apply_totals(life, me.spent_totals(), self.now, started_later=younger)
-        me.set_live_vms(len(heard), self.size, self.now)
+        live = [
+            other for other in range(self.size) if self.partitions[other] == self.partitions[index]
+        ]
+        for other in live:
+            if other != index:
+                started_later = self.started[index] > self.started[other]
+                incarnation = f"{index}/{self.incarnations[index]}"
+                self.vms[other].apply_totals(
+                    incarnation, me.spent_totals(), self.now, started_later=started_later
+                )
+        me.set_live_vms(len(live), self.size, self.now)
 
     def run(self, ms, *, send=None, restart_ms=0):
         restarts = itertools.cycle(range(self.size))
-        for passed in range(0, ms, STEP_MS):
+        for elapsed_ms in range(0, ms, STEP_MS):
             self.now += STEP_MS
             if send is not None:
-                send(passed)
+                send(elapsed_ms)
             for index in range(self.size):
-                # Not all at the same moment, as in a fleet.
-                if (self.now + index * 37) % self.every_ms < STEP_MS:
-                    self.talk(index)
-            if restart_ms and passed and passed % restart_ms == 0:
+                # VMs report at different moments, as in a fleet.
+                if (self.now + index * 37) % self.interval_ms < STEP_MS:
+                    self.report(index)
+            if restart_ms and elapsed_ms and elapsed_ms % restart_ms == 0:
                 self.restart(next(restarts))
 
     def restart(self, index):
         self.vms[index] = FleetQuota()
         self.vms[index].configure([terms()], self.now)
         self.started[index] = self.now
-        self.lives[index] += 1
+        self.incarnations[index] += 1
         other = self.vms[(index + 1) % self.size]
         self.vms[index].adopt_levels(other.levels(), self.now)
 
     def spend(self, index):
-        self.asked += 1
+        self.request_count += 1
         if self.vms[index].take(NAME, COST, self.now) is None:
             self.spends.append(self.now)
 
     def sender(self, times, pick):
-        owed = 0.0
+        due = 0.0
 
-        def send(passed):
-            nonlocal owed
-            owed += times * RATE * STEP_MS / 1000 / COST
-            while owed >= 1:
-                owed -= 1
-                self.spend(pick(passed))
+        def send(elapsed_ms):
+            nonlocal due
+            due += times * RATE * STEP_MS / 1000 / COST
+            while due >= 1:
+                due -= 1
+                self.spend(pick(elapsed_ms))
 
         return send
 
 
-@given("{vms:d} VMs that hear each other every {ms:d} ms, for an account of 1000 a second")
+@given("{vms:d} VMs that report to each other every {ms:d} ms, for an account of 1000 a second")
 def step_fleet(context, vms, ms):
     context.quota = Fleet(vms, ms)
 
 
-@when("VMs 1 to {side:d} are cut off from the others")
-def step_cut(context, side):
+@when("VMs 1 to {side:d} are partitioned from the others")
+def step_partition(context, side):
     fleet = context.quota
-    fleet.groups = [0 if index < side else 1 for index in range(fleet.size)]
+    fleet.partitions = [0 if index < side else 1 for index in range(fleet.size)]
     fleet.run(1_600)
 
 
@@ -105,9 +109,9 @@
 @when(
     "the account sends {times:g} times its rate for {seconds:d} s, through one VM after the other"
 )
-def step_wander(context, times, seconds):
+def step_move(context, times, seconds):
     fleet = context.quota
-    pick = lambda passed: passed // 2_500 % fleet.size  # noqa: E731
+    pick = lambda elapsed_ms: elapsed_ms // 2_500 % fleet.size  # noqa: E731
     fleet.run(seconds * 1000, send=fleet.sender(times, pick))
 
 
@@ -118,27 +122,30 @@
     fleet.run(20_000, send=fleet.sender(times, lambda _: next(turn)), restart_ms=ms)
 
 
-@then("no window of 8 s spends more than 1.1 times rate and burst and {slack:d} besides")
-def step_bound(context, slack):
+@then("no window of 8 s spends over 1.1 times rate and burst plus {slack:d}")
+def step_limit(context, slack):
     spends = context.quota.spends
     assert spends
-    most = 0
+    max_spent = 0
     begin = 0
     for end, at in enumerate(spends):
         while at - spends[begin] > 8_000:
             begin += 1
-        most = max(most, (end - begin + 1) * COST)
-    assert most <= 1.1 * (RATE * 8 + RATE) + slack, most
+        max_spent = max(max_spent, (end - begin + 1) * COST)
+    assert max_spent <= 1.1 * (RATE * 8 + RATE) + slack, max_spent
 
 
 @then("at least {share:d} of 100 requests were admitted after the first 2 s")
 def step_admitted(context, share):
     fleet = context.quota
-    assert len(fleet.spends) >= fleet.asked * share / 100, (len(fleet.spends), fleet.asked)
+    assert len(fleet.spends) >= fleet.request_count * share / 100, (
+        len(fleet.spends),
+        fleet.request_count,
+    )
 
 
 @when("the limit falls to {rate:d} a second")
-def step_lower(context, rate):
+def step_lower_limit(context, rate):
     context.quota.vms[0].configure([terms(float(rate))], context.quota.now)
 
 
@@ -147,7 +154,7 @@
     assert context.quota.vms[0].levels()[NAME] <= level
 
 
-@when("{cost:d} is spent and given back")
+@when("{cost:d} is spent and refunded")
 def step_refund(context, cost):
     vm, now = context.quota.vms[0], context.quota.now
     assert vm.take(NAME, cost, now) is None
@@ -160,17 +167,17 @@
     assert context.quota.vms[0].take(NAME, cost, context.quota.now) is None
 
 
-@when("{cost:d} is spent at the first VM and the others have heard it")
+@when("{cost:d} is spent at the first VM and reported to the others")
 def step_spend_first(context, cost):
     fleet = context.quota
     assert fleet.vms[0].take(NAME, cost, fleet.now) is None
     fleet.run(300)
 
 
-@when("the account is taken away and given back at the first VM")
-def step_away_and_back(context):
+@when("the account is removed and added again at the first VM")
+def step_remove_and_add(context):
     fleet = context.quota
-    context.before = fleet.vms[1].levels()[NAME], fleet.now
+    context.level_before = fleet.vms[1].levels()[NAME], fleet.now
     fleet.vms[0].configure([], fleet.now)
     fleet.vms[0].configure([terms()], fleet.now)
     assert fleet.vms[0].take(NAME, COST, fleet.now) is not None
@@ -182,7 +189,7 @@
 @then("the second VM's level has not risen by more than the time allows")
 def step_level_second(context):
     fleet = context.quota
-    level, at = context.before
+    level, at = context.level_before
     vm = fleet.vms[1]
     vm.refund(NAME, 0, fleet.now)
     assert vm.levels()[NAME] <= level + (fleet.now - at) * RATE / 1000 - COST + 1, vm.levels()
@@ -195,11 +202,11 @@
 
 
 @then("for {refused:d} ms nothing can be spent, and after {admitted:d} ms it can")
-def step_worked_off(context, refused, admitted):
+def step_paid_off(context, refused, admitted):
     fleet = context.quota
-    began = fleet.now
-    while fleet.now < began + refused:
+    start_ms = fleet.now
+    while fleet.now < start_ms + refused:
         fleet.run(100)
-        assert fleet.vms[0].take(NAME, COST, fleet.now) is not None, fleet.now - began
+        assert fleet.vms[0].take(NAME, COST, fleet.now) is not None, fleet.now - start_ms
     fleet.run(admitted - refused)
     assert fleet.vms[0].take(NAME, COST, fleet.now) is None
--- a/tests/steps/policy/report_intervals_steps.py
+++ b/tests/steps/policy/report_intervals_steps.py
@@ -6,29 +6,29 @@
 
 
 @then(
-    "with {near:d} other VMs near of {vms:d}, {watchers:d} watching, words are {near_ms:d} and"
-    " {outside_ms:d} ms apart"
+    "with {local:d} local peers of {vms:d} VMs, {watchers:d} watching, reports are {local_ms:d} and"
+    " {remote_ms:d} ms apart"
 )
-def step_words(context, near, vms, watchers, near_ms, outside_ms):
-    context.sizes = near, vms, watchers
-    assert report_intervals.local_report_interval_ms(near) == near_ms
-    assert report_intervals.remote_report_interval_ms(vms) == outside_ms
+def step_reports(context, local, vms, watchers, local_ms, remote_ms):
+    context.sizes = local, vms, watchers
+    assert report_intervals.local_report_interval_ms(local) == local_ms
+    assert report_intervals.remote_report_interval_ms(vms) == remote_ms
 
 
-@then("a VM is gone after {gone:d} ms, a watcher after {watcher_gone:d} ms")
-def step_gone(context, gone, watcher_gone):
-    near, vms, _ = context.sizes
-    assert report_intervals.peer_timeout_ms(local_peers=near, vms=vms) == gone
-    assert report_intervals.watcher_timeout_ms(near) == watcher_gone
+@then("a VM times out after {peer:d} ms, a watcher after {watcher:d} ms")
+def step_timeouts(context, peer, watcher):
+    local, vms, _ = context.sizes
+    assert report_intervals.peer_timeout_ms(local_peers=local, vms=vms) == peer
+    assert report_intervals.watcher_timeout_ms(local) == watcher
 
 
-@then("a watch rests {rest:d} ms and waits {wait:d} ms")
-def step_watch(context, rest, wait):
+@then("a watch pauses {pause:d} ms and polls for up to {poll:d} ms")
+def step_watch(context, pause, poll):
     _, _, watchers = context.sizes
-    assert report_intervals.watch_pause_ms(watchers) == rest
-    assert report_intervals.watch_poll_timeout_ms(watchers) == wait
+    assert report_intervals.watch_pause_ms(watchers) == pause
+    assert report_intervals.watch_poll_timeout_ms(watchers) == poll
 
 
-@then("a young VM of {vms:d} tells other data centres each {ms:d} ms")
-def step_young(context, vms, ms):
+@then("a VM of {vms:d} that has just started reports to other data centres every {ms:d} ms")
+def step_just_started(context, vms, ms):
     assert report_intervals.remote_report_interval_ms(vms, just_started=True) == ms
