--- a/src/hickorybeam/demo/platform.py
+++ b/src/hickorybeam/demo/platform.py
@@ -12,7 +12,7 @@
 from hickorybeam.gateway.feed import FeedService
 from hickorybeam.gateway.fleet import FleetService
 from hickorybeam.gateway.relay import Ports, RelayService
-from hickorybeam.http1 import BrokenAnswerError, UpstreamPool
+from hickorybeam.http1 import BrokenResponseError, UpstreamPool
 from hickorybeam.http1.head import request_bytes
 from hickorybeam.ports import FEED, FLEET, RELAY
 from hickorybeam.settings import (
@@ -30,7 +30,7 @@
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator, Callable
 
-    from hickorybeam.gateway.knowledge import Knowledge
+    from hickorybeam.gateway.routing_state import RoutingState
     from hickorybeam.http1 import RawHeaders
     from hickorybeam.kernel import Kernel
 
@@ -83,9 +83,9 @@
         self.ended = anyio.Event()
 
     @property
-    def knowledge(self) -> Knowledge:
+    def routing_state(self) -> RoutingState:
         """What it knows."""
-        return self.feed.knowledge
+        return self.feed.routing_state
 
     @property
     def ports(self) -> Ports:
@@ -153,16 +153,16 @@
         await self.until(lambda: all(self._settled(vm) for vm in self.vms.values()))
 
     def _settled(self, vm: RunningVm) -> bool:
-        config = vm.knowledge.config
+        config = vm.routing_state.config
         return (
             config is not None
             and config.version >= self.config["version"]
-            and set(self.servers) <= set(vm.knowledge.standings)
-            and vm.fleet.heard() == len(self.vms)
+            and set(self.servers) <= set(vm.routing_state.server_states)
+            and vm.fleet.live_vm_count() == len(self.vms)
             and all(
                 "model" in (it.forecasts or {})
                 for it in vm.fleet.peers.by_name.values()
-                if it.vm.region != vm.fleet.me.region
+                if it.vm.region != vm.fleet.own_vm.region
             )
         )
 
@@ -187,18 +187,18 @@
 
     async def exchange(self, port: int, data: bytes) -> Answer:
         """Send bytes on a new connection and read one answer."""
-        conn = await self._pool.take(("127.0.0.1", port), fresh=True)
+        conn = await self._pool.acquire(("127.0.0.1", port), fresh=True)
         parts: list[bytes] = []
         status = 0
         headers: RawHeaders = ()
         try:
             with anyio.fail_after(CALL_LIMIT_S):
                 conn.send(data)
-                head = await conn.head()
+                head = await conn.read_head()
                 status, headers = head.status, head.headers
-                while chunk := await conn.chunk():
+                while chunk := await conn.read_chunk():
                     parts.append(chunk)
-        except BrokenAnswerError:
+        except BrokenResponseError:
             return Answer(status, headers, b"".join(parts), whole=False)
         finally:
             conn.abort()
--- a/src/hickorybeam/gateway/admission.py
+++ b/src/hickorybeam/gateway/admission.py
@@ -6,15 +6,15 @@
 from typing import TYPE_CHECKING
 
 from hickorybeam.errors import ErrorKind, GatewayError
-from hickorybeam.gateway.attempt import Errand
+from hickorybeam.gateway.attempt import AdmittedRequest
 from hickorybeam.model import key_digest
 from hickorybeam.model.routing import Unit
-from hickorybeam.policy.come_back import come_back_ms
+from hickorybeam.policy.retry_after import outage_retry_after_ms
 from hickorybeam.policy.route_table import pick_target
 
 if TYPE_CHECKING:
     from hickorybeam.clock import Clock
-    from hickorybeam.gateway.knowledge import Knowledge
+    from hickorybeam.gateway.routing_state import RoutingState
     from hickorybeam.model.routing import AccountTerms, RelayCall, Route
     from hickorybeam.policy.fleet_quota import FleetQuota
 
@@ -37,26 +37,26 @@
     grace period would be cut in its middle, by a VM that had known better.
     """
 
-    def __init__(self, *, clock: Clock, knowledge: Knowledge, quota: FleetQuota) -> None:
+    def __init__(self, *, clock: Clock, routing_state: RoutingState, quota: FleetQuota) -> None:
         self._clock = clock
-        self._knowledge = knowledge
+        self._routing_state = routing_state
         self._quota = quota
         self._rng = random.Random()
         self._started_ms = clock.now()
         self.draining = False
         self.ends_ms: int | None = None
 
-    def admit(self, call: RelayCall) -> Errand:
+    def admit(self, call: RelayCall) -> AdmittedRequest:
         """Return what was decided about a request.
 
         :raises GatewayError: it is refused.
         """
-        config = self._knowledge.config
+        config = self._routing_state.config
         if config is None:
             raise GatewayError(ErrorKind.NOT_READY, retry_after_ms=self._ready_in_ms(call))
         if self.draining:
             raise GatewayError(ErrorKind.DRAINING, retry_after_ms=LEAVING_COME_BACK_MS)
-        route = self._knowledge.table.match(call.host, call.path)
+        route = self._routing_state.route_table.match(call.host, call.path)
         if route is None:
             raise GatewayError(ErrorKind.ROUTE_UNKNOWN)
         needs_key = config.with_accounts and not route.public
@@ -65,7 +65,7 @@
         if self.ends_ms is not None and deadline > self.ends_ms:
             raise GatewayError(ErrorKind.DRAINING, retry_after_ms=LEAVING_COME_BACK_MS)
         cost = self._spend(call, terms)
-        return Errand(
+        return AdmittedRequest(
             call=call,
             route=route,
             service=pick_target(route, self._rng.random()),
@@ -79,12 +79,12 @@
     def _ready_in_ms(self, call: RelayCall) -> int:
         """Return when a VM that knows no configuration yet may know one."""
         now = self._clock.now()
-        return come_back_ms(
-            away_ms=now - self._started_ms, settling_ms=0, left_ms=call.deadline_ms - now
+        return outage_retry_after_ms(
+            outage_ms=now - self._started_ms, recovery_ms=0, left_ms=call.deadline_ms - now
         )
 
     def _account(self, call: RelayCall) -> AccountTerms:
-        config = self._knowledge.config
+        config = self._routing_state.config
         if config is None or call.key is None:
             raise GatewayError(ErrorKind.KEY_MISSING)
         name = config.keys.get(key_digest(call.key))
--- a/src/hickorybeam/gateway/burden.py
+++ b/src/hickorybeam/gateway/in_flight.py
@@ -5,13 +5,13 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from hickorybeam.gateway.place_words import Ending
+from hickorybeam.gateway.placement_messages import SendStatus
 
 if TYPE_CHECKING:
     from hickorybeam.clock import Clock
-    from hickorybeam.gateway.line import Line
-    from hickorybeam.gateway.place_asking import Grant
-    from hickorybeam.policy.server_choice import ServerStanding
+    from hickorybeam.gateway.placement_client import Grant
+    from hickorybeam.gateway.service_queue import ServiceQueue
+    from hickorybeam.policy.server_choice import ServerState
 
 __all__ = ("Burden",)
 
@@ -30,8 +30,8 @@
     """
 
     clock: Clock
-    line: Line
-    standing: ServerStanding
+    line: ServiceQueue
+    standing: ServerState
     given: bool
     size: int
     reading: int
@@ -53,48 +53,48 @@
     def has_read(self) -> None:
         """Take the first sign of an answer: its prompt is read."""
         if self.copy_from is None:
-            self.standing.pace.has_read(self.ahead, self.clock.now() - self.sent_ms)
+            self.standing.speed.record_prefill(self.ahead, self.clock.now() - self.sent_ms)
         self._add(0, -self.reading, 0)
         self.reading = 0
         self.read_ms = self.clock.now()
         if self.grant is not None:
             self.grant.has_read()
 
-    def end(self, ending: Ending) -> None:
+    def end(self, ending: SendStatus) -> None:
         """Take it off its server, once."""
         if self.ended:
             return
         self.ended = True
-        if ending is Ending.ANSWERED and self.read_ms is not None:
-            self.standing.pace.has_written(self.output, self.clock.now() - self.read_ms)
+        if ending is SendStatus.ANSWERED and self.read_ms is not None:
+            self.standing.speed.record_decode(self.output, self.clock.now() - self.read_ms)
         self._add(-1, -self.reading, -self.size)
         self.line.departed()
         if self.grant is not None:
             self.grant.end(ending)
 
-    def told(self, ending: Ending) -> None:
+    def told(self, ending: SendStatus) -> None:
         """Take what the VM that sends it says of it."""
         match ending:
-            case Ending.READ:
+            case SendStatus.READ:
                 self.has_read()
                 return
-            case Ending.ANSWERED:
-                self.standing.succeeded()
-            case Ending.FAILED:
-                self.standing.failed()
-            case Ending.UNREACHABLE:
-                self.standing.unreachable(self.clock.now())
-            case Ending.LEFT:
+            case SendStatus.ANSWERED:
+                self.standing.record_success()
+            case SendStatus.FAILED:
+                self.standing.record_failure()
+            case SendStatus.UNREACHABLE:
+                self.standing.record_unreachable(self.clock.now())
+            case SendStatus.LEFT:
                 pass
         self.end(ending)
 
     def _add(self, running: int, reading: int, holding: int) -> None:
         it = self.standing
         if self.given:
-            it.given += running
-            it.reading_given += reading
-            it.holding_given += holding
+            it.granted_requests += running
+            it.granted_prefill_tokens += reading
+            it.granted_held_tokens += holding
         else:
-            it.running += running
-            it.reading += reading
-            it.holding += holding
+            it.own_requests += running
+            it.own_prefill_tokens += reading
+            it.own_held_tokens += holding
--- a/src/hickorybeam/gateway/sending.py
+++ b/src/hickorybeam/gateway/sender.py
@@ -6,24 +6,24 @@
 
 from hickorybeam.clock import MS_PER_SECOND
 from hickorybeam.gateway.attempt import Attempt, NotSentError, SilentError, ToPeer, ToServer
-from hickorybeam.gateway.place_words import Ending
-from hickorybeam.http1 import BrokenAnswerError
-from hickorybeam.platform import answer_headers
-from hickorybeam.policy.first_byte import first_byte_ms
+from hickorybeam.gateway.placement_messages import SendStatus
+from hickorybeam.http1 import BrokenResponseError
+from hickorybeam.platform import response_headers
+from hickorybeam.policy.first_byte_timeout import first_byte_timeout_ms
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
     from hickorybeam.clock import Clock
-    from hickorybeam.gateway.attempt import Errand, Target
-    from hickorybeam.gateway.burden import Burden
-    from hickorybeam.gateway.endings import Endings
-    from hickorybeam.gateway.knowledge import Knowledge
-    from hickorybeam.gateway.placing import Placing
+    from hickorybeam.gateway.attempt import AdmittedRequest, Target
+    from hickorybeam.gateway.final_responses import Endings
+    from hickorybeam.gateway.in_flight import Burden
     from hickorybeam.gateway.progress import Progress
-    from hickorybeam.http1 import AnswerHead, UpstreamPool
-    from hickorybeam.platform import AnswerFacts
-    from hickorybeam.policy.server_choice import ServerStanding
+    from hickorybeam.gateway.routing_state import RoutingState
+    from hickorybeam.gateway.target_selector import TargetSelector
+    from hickorybeam.http1 import ResponseHead, UpstreamPool
+    from hickorybeam.platform import ResponseInfo
+    from hickorybeam.policy.server_choice import ServerState
     from hickorybeam.telemetry import Counters
 
 __all__ = ("Sending",)
@@ -39,20 +39,25 @@
         *,
         clock: Clock,
         counters: Counters,
-        knowledge: Knowledge,
-        placing: Placing,
+        routing_state: RoutingState,
+        placing: TargetSelector,
         pool: UpstreamPool,
         endings: Endings,
     ) -> None:
         self._clock = clock
-        self._knowledge = knowledge
+        self._routing_state = routing_state
         self._placing = placing
         self._pool = pool
         self._endings = endings
         self._first_byte = counters.histogram("first_byte", "Time to the first byte", ("route",))
 
     async def send(
-        self, target: Target, errand: Errand, progress: Progress, *, leave: Callable[[], bool]
+        self,
+        target: Target,
+        errand: AdmittedRequest,
+        progress: Progress,
+        *,
+        leave: Callable[[], bool],
     ) -> None:
         """Send once and take note of how it went; a good answer is passed on.
 
@@ -65,7 +70,7 @@
         copy_from = burden.copy_from if burden else None
         attempt = Attempt(self._pool, target, errand, copy_from=copy_from)
         progress.flying = True
-        ending = Ending.LEFT
+        ending = SendStatus.LEFT
         try:
             head, facts = await attempt.open(
                 self._clock.now(), patience_ms=patience_ms, leave=leave
@@ -76,7 +81,7 @@
             if standing is not None:
                 self._take_facts(standing, facts)
             await self._take_answer(attempt, head, facts, errand, progress, standing)
-            ending = Ending.FAILED if progress.failed else Ending.ANSWERED
+            ending = SendStatus.FAILED if progress.failed else SendStatus.ANSWERED
             progress.flying = False
             if progress.reply.done:
                 self._endings.answered(errand, target, progress)
@@ -86,12 +91,12 @@
             progress.why = str(exc)
             match target:
                 case _ if exc.unreachable:
-                    ending = Ending.UNREACHABLE
+                    ending = SendStatus.UNREACHABLE
                     self._unreachable(target, attempt)
                 case ToPeer(peer):
                     progress.refused_by(peer.vm.region, exc.come_back_ms)
             self._endings.note("not_sent", errand, target, why=progress.why)
-        except BrokenAnswerError as exc:
+        except BrokenResponseError as exc:
             progress.flying = False
             progress.runs += 1
             progress.why = str(exc)
@@ -102,54 +107,56 @@
                 burden.end(ending)
             attempt.close()
 
-    def _burden(self, target: Target, errand: Errand) -> Burden | None:
+    def _burden(self, target: Target, errand: AdmittedRequest) -> Burden | None:
         """Count a request at the server that it is sent to."""
         if not isinstance(target, ToServer):
             return None
         return self._placing.begin(target.standing, errand, grant=target.grant)
 
-    def _broke(self, exc: BrokenAnswerError, target: Target, attempt: Attempt) -> Ending:
+    def _broke(self, exc: BrokenResponseError, target: Target, attempt: Attempt) -> SendStatus:
         match exc, target:
             case SilentError(), _:
                 self._unreachable(target, attempt)
-                return Ending.UNREACHABLE
+                return SendStatus.UNREACHABLE
             case _, ToServer(standing):
-                standing.failed()
-        return Ending.FAILED
+                standing.record_failure()
+        return SendStatus.FAILED
 
-    def _observe_first_byte(self, errand: Errand) -> None:
+    def _observe_first_byte(self, errand: AdmittedRequest) -> None:
         took_ms = self._clock.now() - errand.call.arrived_ms
         self._first_byte.labels(errand.route.name).observe(took_ms / MS_PER_SECOND)
 
-    def _first_byte_ms(self, errand: Errand, progress: Progress) -> float | None:
+    def _first_byte_ms(self, errand: AdmittedRequest, progress: Progress) -> float | None:
         runs_left = errand.route.max_attempts - progress.runs - 1
-        return first_byte_ms(errand.route, runs_left=runs_left, foreseen_ms=progress.foreseen_ms)
+        return first_byte_timeout_ms(
+            errand.route, attempts_left=runs_left, expected_ms=progress.foreseen_ms
+        )
 
-    def _take_facts(self, standing: ServerStanding, facts: AnswerFacts) -> None:
+    def _take_facts(self, standing: ServerState, facts: ResponseInfo) -> None:
         now = self._clock.now()
         if facts.load is not None:
-            standing.told(busy=facts.load.running + facts.load.waiting, now_ms=now)
+            standing.record_load(busy=facts.load.running + facts.load.waiting, now_ms=now)
         if facts.cold_ms:
-            self._knowledge.cold(standing.server.id, facts.cold_ms, now)
+            self._routing_state.mark_cold(standing.server.id, facts.cold_ms, now)
 
     async def _take_answer(
         self,
         attempt: Attempt,
-        head: AnswerHead,
-        facts: AnswerFacts,
-        errand: Errand,
+        head: ResponseHead,
+        facts: ResponseInfo,
+        errand: AdmittedRequest,
         progress: Progress,
-        standing: ServerStanding | None,
+        standing: ServerState | None,
     ) -> None:
         if facts.not_run:
             await attempt.body()
             attempt.kept()
-            if standing is not None and facts.other_server:
-                standing.unreachable(self._clock.now())
+            if standing is not None and facts.misdirected:
+                standing.record_unreachable(self._clock.now())
             raise NotSentError(f"status {facts.status}: not run", rejected=True)
         good = OK <= facts.status < FIRST_ERROR
         if good and not facts.signed:
-            raise BrokenAnswerError("a success that no server signed")
+            raise BrokenResponseError("a success that no server signed")
         if good and facts.streamed:
             await self._relay_stream(attempt, head, errand, progress)
         else:
@@ -158,44 +165,44 @@
             self._take_whole(head, facts, body, errand, progress)
         if standing is not None:
             if good:
-                standing.succeeded()
+                standing.record_success()
             else:
-                standing.failed()
+                standing.record_failure()
 
     def _take_whole(
         self,
-        head: AnswerHead,
-        facts: AnswerFacts,
+        head: ResponseHead,
+        facts: ResponseInfo,
         body: bytes,
-        errand: Errand,
+        errand: AdmittedRequest,
         progress: Progress,
     ) -> None:
         progress.runs += 1
-        if facts.status >= SERVER_ERROR or facts.promises or progress.reply.started:
+        if facts.status >= SERVER_ERROR or facts.implies_not_run or progress.reply.started:
             # A failure, or a whole answer where a stream was to go on.
             progress.failed = (head, facts, body)
             progress.why = f"status {facts.status}"
             return
-        progress.reply.whole(facts.status, answer_headers(head.headers), body)
+        progress.reply.send(facts.status, response_headers(head.headers), body)
         progress.pace.came(self._clock.now())
 
     async def _relay_stream(
-        self, attempt: Attempt, head: AnswerHead, errand: Errand, progress: Progress
+        self, attempt: Attempt, head: ResponseHead, errand: AdmittedRequest, progress: Progress
     ) -> None:
         reply, cutter = progress.reply, progress.cutter
         if not reply.started:
-            reply.begin(head.status, answer_headers(head.headers))
+            reply.start(head.status, response_headers(head.headers))
         try:
             while data := await attempt.chunk():
                 progress.pace.came(self._clock.now())
-                await reply.chunk(cutter.whole(data) if errand.route.resumable else data)
-        except BrokenAnswerError:
+                await reply.send_chunk(cutter.whole(data) if errand.route.resumable else data)
+        except BrokenResponseError:
             errand.resume_after = cutter.last_id or errand.resume_after
             cutter.restart()
             raise
         attempt.kept()
         progress.runs += 1
-        await reply.chunk(cutter.rest())
+        await reply.send_chunk(cutter.rest())
         reply.end()
 
     def _unreachable(self, target: Target, attempt: Attempt) -> None:
@@ -203,6 +210,6 @@
         attempt.forget_idle()
         match target:
             case ToServer(standing):
-                standing.unreachable(self._clock.now())
+                standing.record_unreachable(self._clock.now())
             case ToPeer(peer):
                 peer.forecasts = None
--- /dev/null
+++ b/src/hickorybeam/gateway/status_report.py
@@ -0,0 +1,76 @@
+"""Periodic status report that each VM sends to others in datagrams."""
+
+from __future__ import annotations
+
+from enum import Enum
+
+import msgspec
+
+from hickorybeam.model.routing import GatewayVm  # noqa: TC001 - msgspec reads the annotation
+
+__all__ = (
+    "NO_USAGE",
+    "Audience",
+    "GrantedUsage",
+    "WaitForecast",
+    "ServerUsage",
+    "StatusReport",
+    "add_usage",
+    "subtract_usage",
+)
+
+# Usage of a server: running requests, prompt tokens not yet prefilled, tokens held in its memory.
+ServerUsage = tuple[int, int, int]
+NO_USAGE: ServerUsage = (0, 0, 0)
+# Usage in slots that other VMs granted, by the granting VM's name and the server's id.
+GrantedUsage = dict[str, dict[str, ServerUsage]]
+# Expected wait of an empty prompt in a region, in ms, and the number of requests in flight at the
+# server with that wait.
+WaitForecast = tuple[int, int]
+
+
+class Audience(Enum):
+    """Receivers of a report: the own data centre, the region's other ones, or other regions."""
+
+    NEAR = "near"
+    ASIDE = "aside"
+    FAR = "far"
+
+
+class StatusReport(msgspec.Struct, frozen=True, array_like=True, tag="tell"):
+    """Status of one VM, and the reports that it relays (``relayed``).
+
+    If ``whole`` is false, ``spent`` and ``servers`` hold only what changed since the last report;
+    the next whole report makes up for a lost datagram. ``follows``: the VM watches the store and
+    reaches it. ``cold``: remaining ms of servers that it found cold itself; relayed by others, the
+    time would grow by each message's delay. ``granted``: usage in slots that other VMs granted,
+    not included in ``servers``.
+    """
+
+    name: str
+    incarnation: str
+    up_ms: int
+    leaving: bool
+    revision: int
+    fresh: bool
+    spent: dict[str, float]
+    servers: dict[str, ServerUsage]
+    forecasts: dict[str, WaitForecast]
+    whole: bool = True
+    levels: dict[str, float] | None = None
+    vm: GatewayVm | None = None
+    holds: dict[str, str] = {}
+    relayed: list[StatusReport] = []
+    follows: bool = False
+    cold: dict[str, int] = {}
+    granted: GrantedUsage = {}
+
+
+def add_usage(one: ServerUsage, other: ServerUsage) -> ServerUsage:
+    """Return the sum of two usages."""
+    return (one[0] + other[0], one[1] + other[1], one[2] + other[2])
+
+
+def subtract_usage(one: ServerUsage, other: ServerUsage) -> ServerUsage:
+    """Return a usage less another one."""
+    return (one[0] - other[0], one[1] - other[1], one[2] - other[2])
--- a/src/hickorybeam/policy/shedding.py
+++ b/src/hickorybeam/policy/shedding.py
@@ -51,7 +51,7 @@
 
 def _retention_order(job: Job) -> tuple[int, int, int]:
     """Return a sort key by which the job to shed last comes first in reverse order."""
-    return (job.priority, -job.cost, -job.arrived)
+    return (job.priority, -job.cost, -job.arrived_ms)
 
 
 class BodyMemoryLimit:
--- a/tests/steps/gateway/line_steps.py
+++ b/tests/steps/gateway/line_steps.py
@@ -4,7 +4,7 @@
 from behave import given, then, when
 
 from hickorybeam.clock import SystemClock
-from hickorybeam.gateway.line import Line
+from hickorybeam.gateway.service_queue import ServiceQueue
 
 
 async def wait(context, place):
@@ -20,7 +20,7 @@
 @given("a line in which {count:d} requests wait for {ms:d} ms")
 def step_line(context, count, ms):
     clock = SystemClock()
-    context.line, context.looks, context.pauses = Line(clock), [], 0
+    context.line, context.looks, context.pauses = ServiceQueue(clock), [], 0
     context.ended, context.left = {}, {}
     real = context.line.pause
 
@@ -33,7 +33,7 @@
     async def start():
         # Departures enough that nobody is refused a place in line.
         for _ in range(1_000):
-            context.line.policy.departed(clock.now())
+            context.line.policy.record_departure(clock.now())
         context.places = [context.line.policy.enter(1, ms, clock.now()) for _ in range(count)]
         context.began = anyio.current_time()
 
--- a/tests/steps/peers/silent_steps.py
+++ b/tests/steps/peers/silent_steps.py
@@ -9,19 +9,19 @@
 from h2.exceptions import StreamClosedError
 
 from hickorybeam.errors import GatewayError
-from hickorybeam.model import AnswerChunk, VmId
+from hickorybeam.model import ResponseChunk, VmId
 from hickorybeam.peers.links import AbortableProtocol
 from hickorybeam.peers.server import PeerServer
 from hickorybeam.peers.wire import Answered, Ask, NumberedAsk
 from hickorybeam.settings import PeerSettings
 from hickorybeam.standins import relay
 from support.peer_nodes import ECHO, PLAIN, Node, Words, collect, enter, make_call
-from support.starved import OwnTime
+from support.stopwatch import Stopwatch
 
 SILENT_MS = 400
 # Shorter than the pings take, so that it is the failed request that gives the connection up.
 ASK_TIMEOUT_MS = 250
-STEADY = replace(ECHO, name="steady echo", steady=True)
+STEADY = replace(ECHO, name="steady echo", shared_stream=True)
 TINY_BUFFER = 2048
 
 
@@ -77,9 +77,9 @@
 
 def timed(context, call):
     async def run():
-        took = OwnTime()
+        took = Stopwatch()
         got = await collect(context.a.peers.forward(call, context.target))
-        return *got, round(took.passed_ms())
+        return *got, round(took.elapsed_ms())
 
     context.parts, context.error, context.took_ms = context.call(run)
 
@@ -98,17 +98,17 @@
 def step_goes_silent(context):
     async def run():
         got = []
-        took = OwnTime()
+        took = Stopwatch()
         try:
             async with aclosing(context.a.peers.forward(make_call(), context.target)) as parts:
                 async for part in parts:
                     got.append(part)
-                    if isinstance(part, AnswerChunk):
+                    if isinstance(part, ResponseChunk):
                         await context.relay.drop_bytes_of_open()
-                        took = OwnTime()
+                        took = Stopwatch()
         except GatewayError as exc:
             context.error = exc
-        context.took_ms = round(took.passed_ms())
+        context.took_ms = round(took.elapsed_ms())
         context.parts = got
 
     context.call(run)
--- a/tests/steps/policy/prefix_holders_steps.py
+++ b/tests/steps/policy/prefix_holders_steps.py
@@ -11,26 +11,26 @@
     return tuple(PromptPart(name, int(tokens)) for name, tokens in pairs)
 
 
-@given("holders of parts")
+@given("prefix holders")
 def step_holders(context):
     context.holders, context.now = PrefixHolders(), 9_000
     for audience in ("near", "far"):
-        context.holders.news(audience)
+        context.holders.take_updates(audience)
 
 
 @when('prompt "{text}" is sent to "{server}"')
 def step_sent(context, text, server):
-    context.holders.sent(parts_of(text), server, context.now)
+    context.holders.record_sent(parts_of(text), server, context.now)
 
 
 @then('prompt "{text}" is held by nobody')
 def step_nobody(context, text):
-    assert context.holders.holder(parts_of(text), context.now) is None
+    assert context.holders.find_holder(parts_of(text), context.now) is None
 
 
 @then('prompt "{text}" is held by "{server}"')
 def step_held(context, text, server):
-    assert context.holders.holder(parts_of(text), context.now) == server
+    assert context.holders.find_holder(parts_of(text), context.now) == server
 
 
 @when("{ms:d} ms pass for the holders")
@@ -38,13 +38,13 @@
     context.now += ms
 
 
-@then('the news for {where} VMs is "{text}", once')
-def step_news(context, where, text):
-    found = context.holders.news(where)
+@then('the updates for {audience} VMs are "{text}", once')
+def step_updates(context, audience, text):
+    found = context.holders.take_updates(audience)
     assert ", ".join(f"{part}={server}" for part, server in found.items()) == text, found
-    assert context.holders.news(where) == {}
+    assert context.holders.take_updates(audience) == {}
 
 
-@when('another VM tells "{text}"')
-def step_tells(context, text):
-    context.holders.heard(dict([text.split("=")]), context.now)
+@when('another VM reports "{text}"')
+def step_reports(context, text):
+    context.holders.merge(dict([text.split("=")]), context.now)
