--- a/src/hickorybeam/gateway/event_splitter.py
+++ b/src/hickorybeam/gateway/event_splitter.py
@@ -1,48 +1,48 @@
-"""Events of a stream, whole ones only, with the id at which the stream can go on."""
+"""Split a stream of server-sent events into whole events and track the last event id."""
 
 from __future__ import annotations
 
-__all__ = ("EventCutter",)
+__all__ = ("EventSplitter",)
 
-END = b"\n\n"
-ID = b"id:"
+EVENT_END = b"\n\n"
+ID_FIELD = b"id:"
 
 
-class EventCutter:
-    """Cuts a stream's bytes after whole events.
+class EventSplitter:
+    """Passes on the bytes of a stream only up to the end of a whole event.
 
-    A server that ends in the middle of an event leaves a part of it behind. Relayed, it would
-    stand before the first event of the run that goes on, and the caller would read one event
-    made of two.
+    A backend server that fails in the middle of an event leaves a partial one behind. Passed on,
+    it would precede the first event of the run that resumes the stream, and the caller would
+    parse one event made of two.
     """
 
     def __init__(self) -> None:
         self.last_id: str | None = None
-        self._rest = b""
+        self._partial = b""
 
-    def whole(self, data: bytes) -> bytes:
-        """Return the whole events that are complete with these bytes."""
-        data = self._rest + data
-        end = data.rfind(END)
+    def take_whole(self, data: bytes) -> bytes:
+        """Return the events that are complete with these bytes."""
+        data = self._partial + data
+        end = data.rfind(EVENT_END)
         if end < 0:
-            self._rest = data
+            self._partial = data
             return b""
-        end += len(END)
-        events, self._rest = data[:end], data[end:]
-        self._note_id(events)
+        end += len(EVENT_END)
+        events, self._partial = data[:end], data[end:]
+        self._update_last_id(events)
         return events
 
-    def rest(self) -> bytes:
-        """Return what follows the last whole event, at the proper end of a stream."""
-        data, self._rest = self._rest, b""
+    def take_partial(self) -> bytes:
+        """Return the bytes after the last whole event, at the proper end of a stream."""
+        data, self._partial = self._partial, b""
         return data
 
-    def restart(self) -> None:
-        """Drop the part of an event that a broken run left."""
-        self._rest = b""
+    def discard_partial(self) -> None:
+        """Drop the partial event that a broken run left."""
+        self._partial = b""
 
-    def _note_id(self, events: bytes) -> None:
+    def _update_last_id(self, events: bytes) -> None:
         for line in reversed(events.split(b"\n")):
-            if line.startswith(ID):
-                self.last_id = line[len(ID) :].strip().decode("latin-1")
+            if line.startswith(ID_FIELD):
+                self.last_id = line[len(ID_FIELD) :].strip().decode("latin-1")
                 return
--- a/src/hickorybeam/gateway/progress.py
+++ b/src/hickorybeam/gateway/progress.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from hickorybeam.gateway.attempt import ToPeer, ToServer
-from hickorybeam.gateway.event_splitter import EventCutter
+from hickorybeam.gateway.event_splitter import EventSplitter
 
 if TYPE_CHECKING:
     from hickorybeam.gateway.attempt import Target
@@ -55,7 +55,7 @@
     tried: set[str] = field(default_factory=set)
     refused: set[str] = field(default_factory=set)
     failed: tuple[AnswerHead, AnswerFacts, bytes] | None = None
-    cutter: EventCutter = field(default_factory=EventCutter)
+    splitter: EventSplitter = field(default_factory=EventSplitter)
     room_in_ms: int | None = None
     why: str = ""
     onward: Target | None = None
--- a/src/hickorybeam/gateway/sender.py
+++ b/src/hickorybeam/gateway/sender.py
@@ -182,20 +182,20 @@
     async def _relay_stream(
         self, attempt: Attempt, head: AnswerHead, errand: AdmittedRequest, progress: Progress
     ) -> None:
-        reply, cutter = progress.reply, progress.cutter
+        reply, splitter = progress.reply, progress.splitter
         if not reply.started:
             reply.begin(head.status, answer_headers(head.headers))
         try:
             while data := await attempt.chunk():
                 progress.pace.came(self._clock.now())
-                await reply.chunk(cutter.whole(data) if errand.route.resumable else data)
+                await reply.chunk(splitter.take_whole(data) if errand.route.resumable else data)
         except BrokenAnswerError:
-            errand.resume_after = cutter.last_id or errand.resume_after
-            cutter.restart()
+            errand.resume_after = splitter.last_id or errand.resume_after
+            splitter.discard_partial()
             raise
         attempt.kept()
         progress.runs += 1
-        await reply.chunk(cutter.rest())
+        await reply.chunk(splitter.take_partial())
         reply.end()
 
     def _unreachable(self, target: Target, attempt: Attempt) -> None:
--- a/tests/steps/gateway/service_queue_steps.py
+++ b/tests/steps/gateway/service_queue_steps.py
@@ -7,34 +7,34 @@
 from hickorybeam.gateway.service_queue import ServiceQueue
 
 
-async def wait(context, place):
-    context.ended[place.number] = False
-    while not context.left.get(place.number) and await context.line.pause(place):
-        if context.line.is_next(place):
-            context.looks.append(place.number)
-    context.pauses += 1
-    context.ended[place.number] = True
-    context.line.leave(place)
-
-
-@given("a line in which {count:d} requests wait for {ms:d} ms")
-def step_line(context, count, ms):
+async def wait(context, entry):
+    context.ended[entry.number] = False
+    while not context.left.get(entry.number) and await context.queue.wait_for_turn(entry):
+        if context.queue.is_near_front(entry):
+            context.polls.append(entry.number)
+    context.waits += 1
+    context.ended[entry.number] = True
+    context.queue.leave(entry)
+
+
+@given("a queue in which {count:d} requests wait for {ms:d} ms")
+def step_queue(context, count, ms):
     clock = SystemClock()
-    context.line, context.looks, context.pauses = ServiceQueue(clock), [], 0
+    context.queue, context.polls, context.waits = ServiceQueue(clock), [], 0
     context.ended, context.left = {}, {}
-    real = context.line.pause
+    wait_for_turn = context.queue.wait_for_turn
 
-    async def counted(place):
-        context.pauses += 1
-        return await real(place)
+    async def counted(entry):
+        context.waits += 1
+        return await wait_for_turn(entry)
 
-    context.line.pause = counted
+    context.queue.wait_for_turn = counted
 
     async def start():
-        # Departures enough that nobody is refused a place in line.
+        # Enough departures that no request is refused an entry in the queue.
         for _ in range(1_000):
-            context.line.policy.departed(clock.now())
-        context.places = [context.line.policy.enter(1, ms, clock.now()) for _ in range(count)]
+            context.queue.policy.departed(clock.now())
+        context.entries = [context.queue.policy.enter(1, ms, clock.now()) for _ in range(count)]
         context.began = anyio.current_time()
 
     context.call(start)
@@ -44,37 +44,37 @@
 
 async def run_all(context):
     async with anyio.create_task_group() as tg:
-        for place in context.places:
-            tg.start_soon(wait, context, place)
+        for entry in context.entries:
+            tg.start_soon(wait, context, entry)
 
 
-@then("none of them left early and they looked at most {most:d} times in all")
-def step_looked(context, most):
-    assert all(context.ended.values()) and len(context.ended) == len(context.places)
-    assert context.pauses - len(context.places) <= most, context.pauses
+@then("every wait ended and they polled at most {most:d} times in all")
+def step_polled(context, most):
+    assert all(context.ended.values()) and len(context.ended) == len(context.entries)
+    assert context.waits - len(context.entries) <= most, context.waits
 
 
 @when("the first {count:d} leave one after the other")
 def step_leave(context, count):
     async def run():
         async with anyio.create_task_group() as tg:
-            for place in context.places:
-                tg.start_soon(wait, context, place)
+            for entry in context.entries:
+                tg.start_soon(wait, context, entry)
             await anyio.sleep(0.05)
-            context.looks.clear()
-            for place in context.places[:count]:
-                context.left[place.number] = True
-                context.line.departed()
+            context.polls.clear()
+            for entry in context.entries[:count]:
+                context.left[entry.number] = True
+                context.queue.record_departure()
                 await anyio.sleep(0.01)
-            context.last = context.places[-1].number
+            context.last = context.entries[-1].number
             with anyio.move_on_after(0.1):
-                while context.last not in context.looks:
+                while context.last not in context.polls:
                     await anyio.sleep(0.005)
             tg.cancel_scope.cancel()
 
     context.call(run)
 
 
-@then("the last one has looked within 100 ms")
+@then("the last one has polled within 100 ms")
 def step_last(context):
-    assert context.last in context.looks
+    assert context.last in context.polls
