--- a/bench/placing_cost.py
+++ b/bench/placing_cost.py
@@ -23,7 +23,7 @@
 from hickorybeam.gateway.local_placement import LocalPlacement
 from hickorybeam.model.routing import RegisteredServer
 from hickorybeam.policy.prefix_holders import PrefixHolders
-from hickorybeam.policy.shutdown import Shutdown
+from hickorybeam.policy.shutdown import ShutdownSchedule
 
 SERVERS = (12, 35, 67, 200)
 PROMPTS = 2_000
@@ -63,7 +63,7 @@
     )
     lines = ServiceQueues(clock)
     placing = TargetSelector(
-        shutdown=Shutdown(8_000), clock=clock, knowledge=knowledge, fleet=fleet, queues=lines
+        shutdown=ShutdownSchedule(8_000), clock=clock, knowledge=knowledge, fleet=fleet, queues=lines
     )
     queueing = LocalPlacement(clock=clock, queues=lines, selector=placing)
     grants = PlacementCoordinator(clock=clock, fleet=fleet, selector=placing, local_placement=queueing)
--- a/src/hickorybeam/gateway/coordinator_ranking.py
+++ b/src/hickorybeam/gateway/coordinator_ranking.py
@@ -4,8 +4,8 @@
 
 from typing import TYPE_CHECKING
 
-from hickorybeam.policy.cold_limit import OWNERS, cold_owners
-from hickorybeam.policy.placers import placers
+from hickorybeam.policy.cold_limit import OWNERS_PER_COLD_SERVER, cold_server_owners
+from hickorybeam.policy.coordinators import rank_coordinators
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Collection
@@ -51,7 +51,7 @@
         Where one VM places for all, it is one of them: others would hardly ever be asked to.
         """
         order = self.ranking(server.service)
-        return order[:OWNERS] if order else cold_owners(server.id, self.serving_vms())
+        return order[:OWNERS_PER_COLD_SERVER] if order else cold_server_owners(server.id, self.serving_vms())
 
     def serving_vms(self) -> list[str]:
         """Return the names of the VMs of this region, this one included."""
@@ -64,5 +64,5 @@
             steady = self._peers.steady()
             if self._stays():
                 steady[self._me.name] = self._me.power
-            order = self._orders[service] = placers(service, steady)
+            order = self._orders[service] = rank_coordinators(service, steady)
         return order
--- a/src/hickorybeam/gateway/knowledge.py
+++ b/src/hickorybeam/gateway/knowledge.py
@@ -7,9 +7,9 @@
 from absl import logging
 
 from hickorybeam.model.routing import CallerRules, RoutingConfig
-from hickorybeam.policy.cold_limit import ColdLimit
+from hickorybeam.policy.cold_limit import ColdServerLimiter
 from hickorybeam.policy.route_table import RouteTable
-from hickorybeam.policy.server_choice import ServerStanding
+from hickorybeam.policy.server_choice import ServerState
 
 if TYPE_CHECKING:
     from hickorybeam.model.routing import RegisteredServer
@@ -23,11 +23,11 @@
     def __init__(self) -> None:
         self.config: RoutingConfig | None = None
         self.table = RouteTable(())
-        self.standings: dict[str, ServerStanding] = {}
+        self.standings: dict[str, ServerState] = {}
         self.evacuated: frozenset[str] = frozenset()
-        self._by_service: dict[str, dict[str, ServerStanding]] = {}
+        self._by_service: dict[str, dict[str, ServerState]] = {}
         self._cold_until: dict[str, int] = {}
-        self._cold: dict[str, ColdLimit] = {}
+        self._cold: dict[str, ColdServerLimiter] = {}
 
     def callers(self) -> CallerRules:
         """Return the limits on callers that are in force."""
@@ -50,7 +50,7 @@
         standing = self.standings.get(server.id)
         if standing is None or not same_life(standing.server, server):
             self._remove(server.id)
-            standing = ServerStanding(server)
+            standing = ServerState(server)
             self.standings[server.id] = standing
             self._by_service.setdefault(server.service, {})[server.id] = standing
             logging.info("server %s of %s is there", server.id, server.service)
@@ -77,21 +77,21 @@
         """Whether a server is still cold."""
         return now_ms < self._cold_until.get(server_id, 0)
 
-    def cold_limit(self, server: RegisteredServer, now_ms: int) -> ColdLimit:
+    def cold_limit(self, server: RegisteredServer, now_ms: int) -> ColdServerLimiter:
         """Return this VM's part of what a cold server may get."""
         limit = self._cold.get(server.id)
         if limit is None:
             spec = self.config.services.get(server.service) if self.config else None
             per_s = spec.cold_per_s if spec else 0.0
-            limit = self._cold[server.id] = ColdLimit(per_s=per_s, now_ms=now_ms)
+            limit = self._cold[server.id] = ColdServerLimiter(rate_per_s=per_s, now_ms=now_ms)
         return limit
 
-    def servers(self, service: str) -> list[ServerStanding]:
+    def servers(self, service: str) -> list[ServerState]:
         """Return the servers of a service that are neither leaving nor evacuated."""
         found = self._by_service.get(service, {}).values()
         return [it for it in found if self.takes_work(it)]
 
-    def takes_work(self, standing: ServerStanding) -> bool:
+    def takes_work(self, standing: ServerState) -> bool:
         """Whether a server is neither leaving nor evacuated."""
         server = standing.server
         return not server.leaving and server.data_centre not in self.evacuated
--- a/src/hickorybeam/gateway/placement_coordinator.py
+++ b/src/hickorybeam/gateway/placement_coordinator.py
@@ -21,7 +21,7 @@
     from hickorybeam.gateway.placement_messages import HeldPlacements, PlacementUpdate
     from hickorybeam.gateway.target_selector import TargetSelector
     from hickorybeam.gateway.local_placement import LocalPlacement
-    from hickorybeam.policy.wait_line import Place
+    from hickorybeam.policy.wait_queue import QueueEntry
 
 __all__ = ("PlacementCoordinator",)
 
@@ -79,7 +79,7 @@
             found = self._queueing.at_last(errand, targets, found)
         self._answer(key, errand, found)
 
-    async def _wait(self, key: Key, errand: AdmittedRequest, targets: OpenTargets, place: Place) -> None:
+    async def _wait(self, key: Key, errand: AdmittedRequest, targets: OpenTargets, place: QueueEntry) -> None:
         with self._waiting[key] as left:
             found = await self._queueing.wait(errand, targets, place)
         del self._waiting[key]
--- a/src/hickorybeam/policy/scheduler.py
+++ b/src/hickorybeam/policy/scheduler.py
@@ -13,14 +13,14 @@
 
 from hickorybeam.errors import ErrorKind
 from hickorybeam.model import RegionLoad
-from hickorybeam.policy.admission import WaitBound, retry_after_ms
+from hickorybeam.policy.admission import WaitLimit, retry_after_ms
 from hickorybeam.policy.backend_table import BackendTable
-from hickorybeam.policy.concurrency import is_long
+from hickorybeam.policy.concurrency import is_long_job
 from hickorybeam.policy.fair_queue import FairQueue
-from hickorybeam.policy.forecast import DrainRate, Median
+from hickorybeam.policy.forecast import DrainRate, RunningMedian
 from hickorybeam.policy.job import Decision, Outcome, Reason, Recall, Refuse, Spill, Start
 from hickorybeam.policy.region_choice import RegionChoice
-from hickorybeam.policy.shedding import MemoryBound, excess_jobs
+from hickorybeam.policy.shedding import BodyMemoryLimit, jobs_to_shed
 
 if TYPE_CHECKING:
     import random
@@ -46,11 +46,11 @@
     served: str
     queue: FairQueue = field(default_factory=FairQueue)
     drain: DrainRate = field(default_factory=DrainRate)
-    costs: Median = field(default_factory=Median)
+    costs: RunningMedian = field(default_factory=RunningMedian)
     first_token: float = 0.0
 
     def is_long(self, job: Job) -> bool:
-        return is_long(job.cost, self.costs.value)
+        return is_long_job(job.cost, self.costs.value)
 
 
 class Scheduler:
@@ -60,7 +60,7 @@
     :param profile: margins and bounds.
     :param memory: bytes of request bodies this VM may hold.
     :param rng: source of every random choice, seeded by tests.
-    :param longest_wait_ms: lowers the profile's bound on waits.
+    :param max_wait_ms: lowers the profile's bound on waits.
     """
 
     def __init__(
@@ -70,18 +70,18 @@
         profile: Profile,
         memory: int,
         rng: random.Random,
-        longest_wait_ms: int | None = None,
+        max_wait_ms: int | None = None,
     ) -> None:
-        bounds = [profile.longest_wait_ms]
-        if longest_wait_ms is not None:
-            bounds.append(longest_wait_ms)
+        bounds = [profile.max_wait_ms]
+        if max_wait_ms is not None:
+            bounds.append(max_wait_ms)
         self._longest_wait = min(bounds)
         self._region = region
         self._rng = rng
         self._pools: dict[str, Pool] = {}
         self._running: dict[int, str] = {}
         self._held: set[int] = set()
-        self._memory = MemoryBound(memory)
+        self._memory = BodyMemoryLimit(memory)
         self.backends = BackendTable(rng=rng)
         self.regions = RegionChoice(here=region, profile=profile)
 
@@ -94,14 +94,14 @@
         self.backends.configure(specs, sharing=sharing)
         self.regions.configure(costs=costs, senders=sharing)
 
-    def heard_report(self, report: LoadReport) -> None:
+    def update_backend_load(self, report: LoadReport) -> None:
         """Take a backend server's load report."""
         self.backends.heard(report)
 
-    def heard_regions(self, loads: Iterable[RegionLoad]) -> None:
+    def update_region_loads(self, loads: Iterable[RegionLoad]) -> None:
         """Take other regions' summaries."""
         for load in loads:
-            self.regions.heard((load,), job_cost=self._pool(load.served).costs.value or 1.0)
+            self.regions.update_loads((load,), job_cost=self._pool(load.served).costs.value or 1.0)
 
     # What happens to jobs.
 
@@ -111,7 +111,7 @@
         Asked before an account's tokens are taken, so that under overload a refusal costs no
         call to the budget and no loan.
         """
-        if not self._memory.fits(job.account, job.size):
+        if not self._memory.fits(job.account, job.body_bytes):
             return self._refuse(job, ErrorKind.VM_FULL, Reason.MEMORY, 0.0, 0.0)
         pool = self._pool(job.served)
         refusal = self._refusal_here(pool, job, now)
@@ -121,7 +121,7 @@
 
     def offer(self, job: Job, now: int) -> Decision | None:
         """Take a new job; ``None`` when it waits for ``poll`` to start it."""
-        if not self._memory.fits(job.account, job.size):
+        if not self._memory.fits(job.account, job.body_bytes):
             return self._refuse(job, ErrorKind.VM_FULL, Reason.MEMORY, 0.0, 0.0)
         pool = self._pool(job.served)
         pool.costs.add(job.cost)
@@ -134,7 +134,7 @@
             return self._spill(pool, job, region, wait, now)
         if refusal is not None:
             return refusal
-        self.regions.kept(job)
+        self.regions.record_local(job)
         self._advance(pool, now)
         self._hold(job)
         pool.queue.push(job, long=pool.is_long(job))
@@ -177,21 +177,21 @@
             pool = self._pool(job.served)
             pool.first_token += FIRST_TOKEN_SHARE * (sample - pool.first_token)
 
-    def finished(self, job: Job, backend: str, now: int, outcome: Outcome, used: int) -> None:
+    def run_ended(self, job: Job, backend: str, now: int, outcome: Outcome, used: int) -> None:
         """Note that a started job ended, having used this many tokens."""
         if self._running.pop(job.id, None) is None:
             return
         self._pool(job.served).queue.settle(job.account, job.cost, used)
         self.backends.finished(job, backend, now, outcome)
 
-    def done(self, job: Job, now: int) -> None:
+    def call_ended(self, job: Job, now: int) -> None:
         """Note that a call is over, however it ended; safe to call twice."""
         pool = self._pool(job.served)
         self._advance(pool, now)
         pool.queue.remove(job.id)
         if job.id in self._held:
             self._held.discard(job.id)
-            self._memory.release(job.account, job.size)
+            self._memory.release(job.account, job.body_bytes)
 
     def tick(self, now: int) -> list[Decision]:
         """Judge health, give up what cannot run in time, and start what can.
@@ -257,7 +257,7 @@
 
     def _hold(self, job: Job) -> None:
         self._held.add(job.id)
-        self._memory.hold(job.account, job.size)
+        self._memory.reserve(job.account, job.body_bytes)
 
     def _pool(self, served: str) -> Pool:
         found = self._pools.get(served)
@@ -269,11 +269,11 @@
         capacity = self.backends.capacity(pool.served, now)
         pool.drain.advance(now, capacity=capacity, waiting=len(pool.queue) > 0)
 
-    def _bound(self, pool: Pool, job: Job, now: int) -> WaitBound:
-        return WaitBound(
-            longest=float(self._longest_wait - (now - job.arrived)),
-            left=float(job.deadline - now),
-            first_token=pool.first_token,
+    def _bound(self, pool: Pool, job: Job, now: int) -> WaitLimit:
+        return WaitLimit(
+            max_wait_ms=float(self._longest_wait - (now - job.arrived_ms)),
+            remaining_ms=float(job.deadline_ms - now),
+            first_token_ms=pool.first_token,
         )
 
     def _refusal_here(self, pool: Pool, job: Job, now: int) -> Refuse | None:
@@ -283,9 +283,9 @@
         bound = self._bound(pool, job, now)
         if wait <= bound.ms:
             return None
-        if bound.deadline_decides and bound.ms < 0:
+        if bound.limited_by_deadline and bound.ms < 0:
             return self._refuse(job, ErrorKind.DEADLINE, Reason.DEADLINE, wait, bound.ms)
-        reason = Reason.DEADLINE if bound.deadline_decides else Reason.WAIT
+        reason = Reason.DEADLINE if bound.limited_by_deadline else Reason.WAIT
         return self._refuse(job, ErrorKind.OVERLOADED, reason, wait, bound.ms)
 
     def _refuse(
@@ -294,14 +294,14 @@
         return Refuse(job, kind, reason, retry_after_ms(wait, bound, self._rng))
 
     def _elsewhere(self, job: Job, now: int, wait: float) -> str | None:
-        if not job.movable or wait <= 0:
+        if not job.may_spill or wait <= 0:
             return None
-        return self.regions.choose(job, local_wait=wait, now=now)
+        return self.regions.choose(job, local_wait_ms=wait, now=now)
 
     def _spill(self, pool: Pool, job: Job, region: str, wait: float, now: int) -> Spill:
-        self.regions.sent(job, region, now)
+        self.regions.record_sent(job, region, now)
         served_here = bool(self.backends.pool(pool.served))
-        return Spill(job, region, self.regions.reason(wait, served_here=served_here))
+        return Spill(job, region, self.regions.spill_reason(wait, served_here=served_here))
 
     def _spill_waiting(self, pool: Pool, now: int, decisions: list[Decision]) -> None:
         """Send jobs that wait elsewhere, since quotas are renewed while they wait.
@@ -309,7 +309,7 @@
         The latest job of the largest backlog goes, which has the longest wait ahead of it.
         """
         failing = self.backends.all_failing(pool.served, now)
-        while (job := pool.queue.last()) is not None:
+        while (job := pool.queue.last_job()) is not None:
             wait = math.inf if failing else self.forecast(job, now)
             region = self._elsewhere(job, now, wait)
             if region is None:
@@ -329,8 +329,8 @@
                 # The median moved since the job was queued and it counts as long only now.
                 backend = self.backends.pick(job, now, long=False)
             assert backend is not None
-            if job.arrived < now or len(pool.queue):
-                pool.drain.drained(job.cost)
+            if job.arrived_ms < now or len(pool.queue):
+                pool.drain.record_drained(job.cost)
             decisions.append(self._start(pool, job, backend, now))
 
     def _start(self, pool: Pool, job: Job, backend: str, now: int) -> Start:
@@ -341,7 +341,7 @@
     def _given_up(self, pool: Pool, now: int) -> list[tuple[Job, ErrorKind, Reason]]:
         late = [
             (job, ErrorKind.DEADLINE, Reason.DEADLINE)
-            if bound.deadline_decides
+            if bound.limited_by_deadline
             else (job, ErrorKind.OVERLOADED, Reason.WAIT)
             for job in pool.queue.jobs()
             if (bound := self._bound(pool, job, now)).ms < 0
@@ -352,13 +352,13 @@
             return [(job, ErrorKind.NO_BACKEND, Reason.NO_BACKEND) for job in pool.queue.jobs()]
         capacity = self.backends.capacity(pool.served, now)
         keep = pool.drain.per_second(capacity) * self._longest_wait * SHED_FACTOR / 1000
-        shed = excess_jobs(pool.queue, keep=keep)
+        shed = jobs_to_shed(pool.queue, max_backlog_tokens=keep)
         return [(job, ErrorKind.OVERLOADED, Reason.SHED) for job in shed]
 
     def _give_up(self, pool: Pool, job: Job, kind: ErrorKind, reason: Reason, now: int) -> Decision:
         pool.queue.remove(job.id)
         region = self._elsewhere(job, now, math.inf)
-        if region is not None and job.deadline > now:
+        if region is not None and job.deadline_ms > now:
             return self._spill(pool, job, region, math.inf, now)
         capacity = self.backends.capacity(pool.served, now)
         wait = pool.drain.wait_ms(pool.queue.backlog, capacity)
