--- a/src/hickorybeam/gateway/request_handler.py
+++ b/src/hickorybeam/gateway/request_handler.py
@@ -29,8 +29,8 @@
     from hickorybeam.gateway.attempt import AdmittedRequest, Target
     from hickorybeam.gateway.feed import FeedService
     from hickorybeam.gateway.fleet import FleetService
-    from hickorybeam.gateway.tell import RegionFigures
-    from hickorybeam.http1 import Incoming, Reply, UpstreamPool
+    from hickorybeam.gateway.status_report import WaitForecast
+    from hickorybeam.http1 import IncomingRequest, ResponseWriter, UpstreamPool
     from hickorybeam.settings import GatewaySettings
     from hickorybeam.telemetry import Counters
     from hickorybeam.telemetry.decisions import DecisionLog
@@ -63,16 +63,16 @@
         self._clock = clock
         self._counters = counters
         self._feed = feed
-        self._knowledge = feed.knowledge
+        self._routing_state = feed.routing_state
         self._started_ms = clock.now()
         self._fleet = fleet
         self._budgets: dict[str, FleetRetryBudget] = {}
         self._lines = ServiceQueues(clock)
-        self._admission = Admission(clock=clock, knowledge=feed.knowledge, quota=fleet.quota)
+        self._admission = Admission(clock=clock, routing_state=feed.routing_state, quota=fleet.quota)
         self._placing = TargetSelector(
             shutdown=shutdown_times(cfg),
             clock=clock,
-            knowledge=feed.knowledge,
+            routing_state=feed.routing_state,
             fleet=fleet,
             queues=self._lines,
         )
@@ -81,7 +81,7 @@
         )
         self._queueing = LocalPlacement(clock=clock, queues=self._lines, selector=self._placing)
         self._asker = PlaceAsker(
-            clock=clock, counters=counters, fleet=fleet, knowledge=feed.knowledge
+            clock=clock, counters=counters, fleet=fleet, routing_state=feed.routing_state
         )
         self._grants = PlacementCoordinator(
             clock=clock, fleet=fleet, selector=self._placing, local_placement=self._queueing
@@ -89,7 +89,7 @@
         self._sending = Sending(
             clock=clock,
             counters=counters,
-            knowledge=feed.knowledge,
+            routing_state=feed.routing_state,
             placing=self._placing,
             pool=pool,
             endings=self._endings,
@@ -97,29 +97,29 @@
 
     async def run_placement(self) -> None:
         """Give places to other VMs, and take those that they give, until cancelled."""
-        self._fleet.on_word(PlacementRequest, self._grants.handle_request)
-        self._fleet.on_word(PlacementUpdate, self._grants.handle_update)
-        self._fleet.on_word(HeldPlacements, self._grants.handle_held)
-        self._fleet.on_word(PlacementResponse, self._asker.placed)
-        self._fleet.granted = self._asker.granted
+        self._fleet.on_message(PlacementRequest, self._grants.handle_request)
+        self._fleet.on_message(PlacementUpdate, self._grants.handle_update)
+        self._fleet.on_message(HeldPlacements, self._grants.handle_held)
+        self._fleet.on_message(PlacementResponse, self._asker.placed)
+        self._fleet.granted_usage = self._asker.granted
         async with anyio.create_task_group() as tg:
             tg.start_soon(self._asker.run)
             await self._grants.run(tg)
 
-    async def handle(self, req: Incoming, reply: Reply) -> None:
+    async def handle(self, req: IncomingRequest, reply: ResponseWriter) -> None:
         """Answer one request of a caller."""
         call = decode_call(req)
-        if self._knowledge.config is None:
-            await self._feed.configured(self._started_ms + STARTING_MS - self._clock.now())
+        if self._routing_state.config is None:
+            await self._feed.wait_for_config(self._started_ms + STARTING_MS - self._clock.now())
         try:
             errand = self._admission.admit(call)
         except GatewayError as exc:
             self._endings.refuse(call, reply, exc)
             return
-        self._budget(errand.service).record_request(self._clock.now(), self._fleet.known())
+        self._budget(errand.service).record_request(self._clock.now(), self._fleet.known_vm_count())
         await self.handle_admitted(errand, reply)
 
-    async def handle_admitted(self, errand: AdmittedRequest, reply: Reply, *, local_only: bool = False) -> None:
+    async def handle_admitted(self, errand: AdmittedRequest, reply: ResponseWriter, *, local_only: bool = False) -> None:
         """Run an admitted request within its deadline, until its caller leaves.
 
         :param local_only: it came from another VM: one run, by a server of this region.
@@ -127,13 +127,13 @@
         progress = Progress(reply, here_only=local_only)
         left_ms = errand.deadline_ms - self._clock.now()
         with anyio.CancelScope() as scope:
-            reply.on_gone(scope.cancel)
+            reply.on_disconnect(scope.cancel)
             with anyio.move_on_after(max(0, left_ms) / MS_PER_SECOND) as limit:
                 await self._attempts(errand, progress)
             if limit.cancelled_caught and not reply.done:
                 progress.why = "deadline"
                 self._endings.give_up(errand, progress)
-        reply.on_gone(None)
+        reply.on_disconnect(None)
         if not progress.ran and errand.account is not None and not local_only:
             self._fleet.quota.refund(errand.account, errand.cost, self._clock.now())
         if scope.cancelled_caught:
@@ -202,7 +202,7 @@
     def _is_gone(self, target: Target) -> bool:
         match target:
             case ToPeer(peer):
-                return not self._fleet.peers.is_heard(peer)
+                return not self._fleet.peers.is_live(peer)
             case ToServer():
                 return False
 
@@ -215,7 +215,7 @@
             # No server has got it yet, so this is no repeat of anything: charged for, full
             # regions that refused at once used up the budget for servers that failed.
             return True
-        if not self._budget(errand.service).take(self._clock.now(), self._fleet.known()):
+        if not self._budget(errand.service).take(self._clock.now(), self._fleet.known_vm_count()):
             progress.why += ", no budget to repeat"
             return False
         self._counters.retries.labels("repeat").inc()
@@ -247,7 +247,7 @@
             budget = self._budgets[service] = FleetRetryBudget(bounds_of(self._cfg))
         return budget
 
-    def forecasts(self) -> dict[str, RegionFigures]:
+    def forecasts(self) -> dict[str, WaitForecast]:
         """Return what other regions are told of this one, by service that has servers."""
         return self._placing.forecasts()
 
--- /dev/null
+++ b/src/hickorybeam/gateway/routing_state.py
@@ -0,0 +1,118 @@
+"""State that requests are routed by: configuration, backend servers, evacuations.
+
+The feed writes it; status reports, health checks and responses only mark servers as cold.
+"""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from absl import logging
+
+from hickorybeam.model.routing import CallerLimits, RoutingConfig
+from hickorybeam.policy.cold_limit import ColdServerLimiter
+from hickorybeam.policy.route_table import RouteTable
+from hickorybeam.policy.server_choice import ServerState
+
+if TYPE_CHECKING:
+    from hickorybeam.model.routing import RegisteredServer
+
+__all__ = ("RoutingState",)
+
+
+class RoutingState:
+    """Latest state of the gateway's entries in the store, as this VM knows them."""
+
+    def __init__(self) -> None:
+        self.config: RoutingConfig | None = None
+        self.route_table = RouteTable(())
+        self.server_states: dict[str, ServerState] = {}
+        self.evacuated_data_centres: frozenset[str] = frozenset()
+        self._by_service: dict[str, dict[str, ServerState]] = {}
+        self._cold_until: dict[str, int] = {}
+        self._cold_limits: dict[str, ColdServerLimiter] = {}
+
+    def caller_limits(self) -> CallerLimits:
+        """Return the limits on callers' requests that are in force."""
+        return self.config.callers if self.config else CallerLimits()
+
+    def update_config(self, config: RoutingConfig) -> bool:
+        """Apply a configuration if it is newer than the one in force.
+
+        A stale read or a lagging VM may return an older version; applying it would bring back
+        revoked keys and removed routes.
+
+        :return: whether it was applied.
+        """
+        if self.config is not None and config.version <= self.config.version:
+            return False
+        self.config = config
+        self.route_table = RouteTable(config.routes)
+        return True
+
+    def update_server(self, server: RegisteredServer, now_ms: int) -> None:
+        """Apply a server's registration; a new incarnation starts with a new state."""
+        state = self.server_states.get(server.id)
+        if state is None or not same_incarnation(state.server, server):
+            self._remove(server.id)
+            state = ServerState(server)
+            self.server_states[server.id] = state
+            self._by_service.setdefault(server.service, {})[server.id] = state
+            logging.info("server %s of service %s registered", server.id, server.service)
+        if server.leaving and not state.server.leaving:
+            logging.info("server %s of service %s is leaving", server.id, server.service)
+        state.server = server
+        if server.cold_ms > 0:
+            self.mark_cold(server.id, server.cold_ms, now_ms)
+
+    def remove_server(self, server_id: str) -> None:
+        """Remove a server whose entry is gone."""
+        if self._remove(server_id):
+            logging.info("server %s removed", server_id)
+            self._cold_until.pop(server_id, None)
+            self._cold_limits.pop(server_id, None)
+
+    def mark_cold(self, server_id: str, cold_ms: int, now_ms: int) -> None:
+        """Record that a server stays cold for at least this long from now on."""
+        until = now_ms + cold_ms
+        if until > self._cold_until.get(server_id, 0):
+            self._cold_until[server_id] = until
+
+    def is_cold(self, server_id: str, now_ms: int) -> bool:
+        """Return whether a server is still cold."""
+        return now_ms < self._cold_until.get(server_id, 0)
+
+    def cold_limit(self, server: RegisteredServer, now_ms: int) -> ColdServerLimiter:
+        """Return the rate limiter of this VM's requests to a cold server."""
+        limit = self._cold_limits.get(server.id)
+        if limit is None:
+            spec = self.config.services.get(server.service) if self.config else None
+            per_s = spec.cold_per_s if spec else 0.0
+            limit = self._cold_limits[server.id] = ColdServerLimiter(rate_per_s=per_s, now_ms=now_ms)
+        return limit
+
+    def available_servers(self, service: str) -> list[ServerState]:
+        """Return the available servers of a service."""
+        found = self._by_service.get(service, {}).values()
+        return [it for it in found if self.is_available(it)]
+
+    def is_available(self, state: ServerState) -> bool:
+        """Return whether a server is neither leaving nor in an evacuated data centre."""
+        server = state.server
+        return not server.leaving and server.data_centre not in self.evacuated_data_centres
+
+    def _remove(self, server_id: str) -> bool:
+        """Remove a server's state.
+
+        :return: whether there was one.
+        """
+        state = self.server_states.pop(server_id, None)
+        if state is None:
+            return False
+        del self._by_service[state.server.service][server_id]
+        return True
+
+
+def same_incarnation(old: RegisteredServer, new: RegisteredServer) -> bool:
+    """Return whether two registrations with one id are of the same start of a server."""
+    return old.born_ms == new.born_ms and old.service == new.service
--- a/src/hickorybeam/policy/at_most_once.py
+++ b/src/hickorybeam/policy/at_most_once.py
@@ -21,7 +21,7 @@
 from hickorybeam.model import VmId  # noqa: TC001 - msgspec reads the annotation
 
 if TYPE_CHECKING:
-    from hickorybeam.model import AnswerPart, Call
+    from hickorybeam.model import ResponsePart, Call
 
 __all__ = (
     "Claim",
@@ -69,7 +69,7 @@
 class Replay:
     """Decision: send the response of the first attempt again."""
 
-    parts: tuple[AnswerPart, ...]
+    parts: tuple[ResponsePart, ...]
 
 
 @dataclass(frozen=True, slots=True)
@@ -90,7 +90,7 @@
         self.expires_ms = expires_ms
         self.state = ClaimState.RUNNING
         self.status = 0
-        self.parts: tuple[AnswerPart, ...] | None = None
+        self.parts: tuple[ResponsePart, ...] | None = None
 
 
 class IdempotencyKeyTable:
@@ -131,7 +131,7 @@
         return Start()
 
     def finish(
-        self, key: str, status: int, parts: tuple[AnswerPart, ...] | None, size: int
+        self, key: str, status: int, parts: tuple[ResponsePart, ...] | None, size: int
     ) -> None:
         """Record that an attempt ended; ``parts`` is ``None`` if the response was too large."""
         record = self._records[key]
