--- a/src/hickorybeam/gateway/admission.py
+++ b/src/hickorybeam/gateway/admission.py
@@ -1,4 +1,4 @@
-"""Whether a caller's request is taken: configuration, route, key and rate."""
+"""Admit or refuse a caller's request by configuration, route, key and rate."""
 
 from __future__ import annotations
 
@@ -20,21 +20,21 @@
 
 __all__ = ("Admission",)
 
-# An answer has to leave before the caller stops waiting for it.
-ANSWER_MARGIN_MS = 25
-# A VM that shuts down names no time: the caller's next connection goes to another one.
-LEAVING_COME_BACK_MS = 50
-# Ranks of routes that fit below one rank of accounts in a server's ten urgencies.
-ROUTE_RANKS = 3
-LEAST_URGENT = 9
+# A response has to be sent before the caller stops waiting for it.
+RESPONSE_MARGIN_MS = 25
+# No longer wait is needed while this VM shuts down: the next connection goes to another one.
+DRAINING_RETRY_AFTER_MS = 50
+# A server has ten urgencies, 0 to 9; so many ranks of routes fit within one rank of accounts.
+ROUTE_RANKS_PER_ACCOUNT_RANK = 3
+LOWEST_URGENCY = 9
 
 
 class Admission:
-    """Takes requests or refuses them, before anything is sent.
+    """Admits or refuses requests before anything is sent.
 
-    ``draining`` refuses all. ``ends_ms`` is when this process ends, once it is known: a request
-    whose deadline lies after it is refused as not run. Taken, a stream that comes late in the
-    grace period would be cut in its middle, by a VM that had known better.
+    ``draining`` refuses all. ``ends_ms`` is when this process ends, ``None`` unless it shuts down:
+    a request whose deadline lies after that is refused as not run. A stream admitted late in the
+    grace period would be cut in its middle.
     """
 
     def __init__(self, *, clock: Clock, routing_state: RoutingState, quota: FleetQuota) -> None:
@@ -47,43 +47,46 @@
         self.ends_ms: int | None = None
 
     def admit(self, call: RelayCall) -> AdmittedRequest:
-        """Return what was decided about a request.
+        """Admit a request.
 
-        :raises GatewayError: it is refused.
+        :raises GatewayError: the request is refused.
         """
         config = self._routing_state.config
         if config is None:
-            raise GatewayError(ErrorKind.NOT_READY, retry_after_ms=self._ready_in_ms(call))
+            raise GatewayError(
+                ErrorKind.NOT_READY, retry_after_ms=self._config_retry_after_ms(call)
+            )
         if self.draining:
-            raise GatewayError(ErrorKind.DRAINING, retry_after_ms=LEAVING_COME_BACK_MS)
+            raise GatewayError(ErrorKind.DRAINING, retry_after_ms=DRAINING_RETRY_AFTER_MS)
         route = self._routing_state.route_table.match(call.host, call.path)
         if route is None:
             raise GatewayError(ErrorKind.ROUTE_UNKNOWN)
         needs_key = config.with_accounts and not route.public
-        terms = self._account(call) if needs_key else None
-        deadline = min(call.deadline_ms, call.arrived_ms + route.timeout_ms) - ANSWER_MARGIN_MS
-        if self.ends_ms is not None and deadline > self.ends_ms:
-            raise GatewayError(ErrorKind.DRAINING, retry_after_ms=LEAVING_COME_BACK_MS)
-        cost = self._spend(call, terms)
+        terms = self._account_terms(call) if needs_key else None
+        deadline_ms = min(call.deadline_ms, call.arrived_ms + route.timeout_ms) - RESPONSE_MARGIN_MS
+        if self.ends_ms is not None and deadline_ms > self.ends_ms:
+            raise GatewayError(ErrorKind.DRAINING, retry_after_ms=DRAINING_RETRY_AFTER_MS)
+        cost = self._charge(call, terms)
         return AdmittedRequest(
             call=call,
             route=route,
             service=pick_target(route, self._rng.random()),
             account=terms.name if terms else None,
             urgency=urgency_of(route, terms),
-            deadline_ms=deadline,
+            deadline_ms=deadline_ms,
             resume_after=call.resume_after,
             cost=cost,
         )
 
-    def _ready_in_ms(self, call: RelayCall) -> int:
-        """Return when a VM that knows no configuration yet may know one."""
+    def _config_retry_after_ms(self, call: RelayCall) -> int:
+        """Return the retry-after while this VM has no configuration yet."""
         now = self._clock.now()
         return outage_retry_after_ms(
             outage_ms=now - self._started_ms, recovery_ms=0, left_ms=call.deadline_ms - now
         )
 
-    def _account(self, call: RelayCall) -> AccountTerms:
+    def _account_terms(self, call: RelayCall) -> AccountTerms:
+        """Return the terms of the account that a request's key belongs to."""
         config = self._routing_state.config
         if config is None or call.key is None:
             raise GatewayError(ErrorKind.KEY_MISSING)
@@ -92,19 +95,22 @@
             raise GatewayError(ErrorKind.KEY_UNKNOWN)
         return config.accounts[name]
 
-    def _spend(self, call: RelayCall, terms: AccountTerms | None) -> float:
-        """Take a request's cost from its account's rate, or refuse it."""
+    def _charge(self, call: RelayCall, terms: AccountTerms | None) -> float:
+        """Charge a request's cost to its account's quota and return the cost.
+
+        :raises GatewayError: the quota is used up.
+        """
         if terms is None:
             return 0.0
         cost = cost_of(call, terms)
-        wait = self._quota.take(terms.name, cost, self._clock.now())
-        if wait is not None:
-            raise GatewayError(ErrorKind.RATE_LIMITED, retry_after_ms=wait)
+        wait_ms = self._quota.take(terms.name, cost, self._clock.now())
+        if wait_ms is not None:
+            raise GatewayError(ErrorKind.RATE_LIMITED, retry_after_ms=wait_ms)
         return cost
 
 
 def cost_of(call: RelayCall, terms: AccountTerms) -> float:
-    """Return what a request costs its account."""
+    """Return what a request costs its account, in the account's unit."""
     if terms.unit is Unit.REQUESTS:
         return 1.0
     if not call.tokens_told:
@@ -113,7 +119,11 @@
 
 
 def urgency_of(route: Route, terms: AccountTerms | None) -> int:
-    """Return how urgent a request is at a server, 0 first; an account's rank goes first."""
+    """Return a request's urgency at a server, 0 first; its account's rank precedes its route's."""
     if terms is None or terms.rank is None:
-        return min(LEAST_URGENT, route.rank)
-    return min(LEAST_URGENT, ROUTE_RANKS * terms.rank + min(ROUTE_RANKS - 1, route.rank))
+        return min(LOWEST_URGENCY, route.rank)
+    return min(
+        LOWEST_URGENCY,
+        ROUTE_RANKS_PER_ACCOUNT_RANK * terms.rank
+        + min(ROUTE_RANKS_PER_ACCOUNT_RANK - 1, route.rank),
+    )
--- a/src/hickorybeam/gateway/attempt.py
+++ b/src/hickorybeam/gateway/attempt.py
@@ -1,4 +1,4 @@
-"""One send of a request to one backend server, directly or through a VM of its region."""
+"""One attempt to send a request to a backend server, directly or through a VM of its region."""
 
 from __future__ import annotations
 
@@ -16,53 +16,53 @@
     from collections.abc import Callable
 
     from hickorybeam.gateway.peers import Peer
-    from hickorybeam.gateway.placement_client import Grant
-    from hickorybeam.http1 import ResponseHead, RawHeaders, UpstreamConnection, UpstreamPool
+    from hickorybeam.gateway.placement_client import SlotGrant
+    from hickorybeam.http1 import RawHeaders, ResponseHead, UpstreamConnection, UpstreamPool
     from hickorybeam.model.routing import RelayCall, Route
     from hickorybeam.platform import ResponseInfo
     from hickorybeam.policy.server_choice import ServerState
 
 __all__ = (
     "HOP_ACCOUNT",
-    "HOP_RETRY_AFTER_MS",
-    "HOP_TIME_LEFT_MS",
     "HOP_NOT_RUN",
     "HOP_RESUME_AFTER",
+    "HOP_RETRY_AFTER_MS",
     "HOP_SERVICE",
+    "HOP_TIME_LEFT_MS",
     "HOP_URGENCY",
-    "NOT_ASKED",
+    "NO_SERVER_ASKED",
     "REJECTED",
-    "Attempt",
     "AdmittedRequest",
-    "NotSentError",
-    "SilentError",
+    "Attempt",
+    "FirstByteTimeoutError",
+    "NotRunError",
+    "PeerTarget",
+    "ServerTarget",
     "Target",
-    "ToPeer",
-    "ToServer",
 )
 
-# Between VMs: set by the sending VM, never taken from callers, who don't reach this port.
+# Request headers between VMs. The sending VM sets them; callers can't reach the port that reads
+# them.
 HOP_SERVICE = b"hop-service"
 HOP_ACCOUNT = b"hop-account"
 HOP_TIME_LEFT_MS = b"hop-left-ms"
 HOP_URGENCY = b"hop-urgency"
 HOP_RESUME_AFTER = b"hop-resume-after"
-# In an answer between VMs: the request was not run, and nothing of the answer is a server's. Its
-# value tells whether a server was asked and rejected it, or none was asked.
+# Response header between VMs: the request was not run, and the response comes from no backend
+# server. Its value tells whether a server rejected the request or none was asked.
 HOP_NOT_RUN = b"hop-not-run"
-REJECTED, NOT_ASKED = b"rejected", b"not-asked"
-# Beside it: in how many ms the region expects to have room.
+REJECTED, NO_SERVER_ASKED = b"rejected", b"not-asked"
+# Sent along with HOP_NOT_RUN: in how many ms the region expects to have a free slot.
 HOP_RETRY_AFTER_MS = b"hop-come-back-ms"
-# How often it is looked again whether a request should leave a silent server, in ms.
-ASK_AGAIN_MS = 200
+FAILOVER_CHECK_INTERVAL_MS = 200
 
 
-class NotSentError(Exception):
-    """The request was surely not run: not sent, or the other end promises so.
+class NotRunError(Exception):
+    """The request was certainly not run: it was not sent, or the other end guarantees it.
 
-    :param unreachable: no connection could be made.
-    :param rejected: a server got the request and rejected it.
-    :param come_back_ms: when there will be room at the other end, where it says so.
+    :param unreachable: no connection could be opened.
+    :param rejected: a server received the request and rejected it.
+    :param retry_after_ms: when the other end expects to have a free slot, if it says so.
     """
 
     def __init__(
@@ -71,42 +71,42 @@
         *,
         unreachable: bool = False,
         rejected: bool = False,
-        come_back_ms: int | None = None,
+        retry_after_ms: int | None = None,
     ) -> None:
         super().__init__(text)
         self.unreachable = unreachable
         self.rejected = rejected
-        self.come_back_ms = come_back_ms
+        self.retry_after_ms = retry_after_ms
 
 
-class SilentError(BrokenResponseError):
-    """No first byte came within the patience; the request may have run."""
+class FirstByteTimeoutError(BrokenResponseError):
+    """No first byte came within the timeout; the request may have run."""
 
 
 @dataclass(frozen=True, slots=True)
-class ToServer:
-    """A backend server of this region; another VM may have given the place there."""
+class ServerTarget:
+    """A backend server of this region, with the slot grant if another VM granted its slot."""
 
-    standing: ServerState
-    grant: Grant | None = None
+    server_state: ServerState
+    grant: SlotGrant | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class ToPeer:
-    """A VM of another region, which picks one of its servers."""
+class PeerTarget:
+    """A VM of another region, which selects one of its servers."""
 
     peer: Peer
 
 
-Target = ToServer | ToPeer
+Target = ServerTarget | PeerTarget
 
 
 @dataclass(slots=True, kw_only=True)
 class AdmittedRequest:
-    """A request with all that was decided about it.
+    """A request with the decisions made at its admission.
 
-    ``resume_after`` is the id of the last event that the caller has; it moves as a stream goes
-    on. ``deadline_ms`` is on this VM's clock.
+    ``resume_after`` is the id of the last event that the caller has received; it advances when a
+    stream breaks off. ``deadline_ms`` is on this VM's clock.
     """
 
     call: RelayCall
@@ -120,18 +120,23 @@
 
 
 class Attempt:
-    """One send; whoever opens it must ``close`` it.
+    """One attempt to send a request; whoever opens it must ``close`` it.
 
     :param copy_from: ``host:port`` of a server that holds shared parts of the prompt.
     """
 
     def __init__(
-        self, pool: UpstreamPool, target: Target, errand: AdmittedRequest, *, copy_from: str | None = None
+        self,
+        pool: UpstreamPool,
+        target: Target,
+        request: AdmittedRequest,
+        *,
+        copy_from: str | None = None,
     ) -> None:
         self._pool = pool
         self._copy_from = copy_from
         self._target = target
-        self._errand = errand
+        self._request = request
         self._address = address_of(target)
         self._conn: UpstreamConnection | None = None
 
@@ -139,47 +144,49 @@
         self,
         now_ms: int,
         *,
-        patience_ms: float | None = None,
-        leave: Callable[[], bool] = lambda: True,
+        first_byte_timeout_ms: float | None = None,
+        should_fail_over: Callable[[], bool] = lambda: True,
     ) -> tuple[ResponseHead, ResponseInfo]:
-        """Send the request and return the head of its answer.
-
-        :param patience_ms: how long to wait for it; ``None`` for no limit but the deadline.
-        :param leave: asked once the patience is over, and now and then after that: whether the
-            request should go elsewhere. While not, its answer is waited for.
-        :raises NotSentError: it was not run.
-        :raises SilentError: no byte came within the patience.
-        :raises BrokenResponseError: it may have run.
+        """Send the request and return the head of its response.
+
+        :param first_byte_timeout_ms: how long to wait for the head; ``None`` to wait until the
+            deadline.
+        :param should_fail_over: called after the timeout, and in intervals from then on, until it
+            returns whether the request should go elsewhere; while it returns ``False``, the wait
+            for the response goes on.
+        :raises NotRunError: the request was not run.
+        :raises FirstByteTimeoutError: no byte came within the timeout.
+        :raises BrokenResponseError: the request may have run.
         """
-        limit_s = None if patience_ms is None else patience_ms / MS_PER_SECOND
-        with anyio.move_on_after(limit_s):
-            conn = await self._sent(self._errand.deadline_ms - now_ms)
+        timeout_s = None if first_byte_timeout_ms is None else first_byte_timeout_ms / MS_PER_SECOND
+        with anyio.move_on_after(timeout_s):
+            conn = await self._send(self._request.deadline_ms - now_ms)
             head = await conn.read_head()
-            return await self._decoded(head)
-        waiting = self._conn
-        if waiting is None:
-            raise NotSentError("no connection in time", unreachable=True)
-        while not leave():
-            with anyio.move_on_after(ASK_AGAIN_MS / MS_PER_SECOND):
-                head = await waiting.read_head()
-                return await self._decoded(head)
-        raise SilentError("silent")
-
-    async def _decoded(self, head: ResponseHead) -> tuple[ResponseHead, ResponseInfo]:
-        hop = find_header(head.headers, HOP_NOT_RUN)
-        if hop is not None:
-            await self._finish()
-            after = find_header(head.headers, HOP_RETRY_AFTER_MS) or b""
-            raise NotSentError(
+            return await self._decode(head)
+        sent_on = self._conn
+        if sent_on is None:
+            raise NotRunError("no connection within the first-byte timeout", unreachable=True)
+        while not should_fail_over():
+            with anyio.move_on_after(FAILOVER_CHECK_INTERVAL_MS / MS_PER_SECOND):
+                head = await sent_on.read_head()
+                return await self._decode(head)
+        raise FirstByteTimeoutError("no response within the first-byte timeout")
+
+    async def _decode(self, head: ResponseHead) -> tuple[ResponseHead, ResponseInfo]:
+        not_run = find_header(head.headers, HOP_NOT_RUN)
+        if not_run is not None:
+            await self._drain_body()
+            retry_after = find_header(head.headers, HOP_RETRY_AFTER_MS) or b""
+            raise NotRunError(
                 "the other region did not run it",
-                rejected=hop != NOT_ASKED,
-                come_back_ms=int(after) if after.isdigit() else None,
+                rejected=not_run != NO_SERVER_ASKED,
+                retry_after_ms=int(retry_after) if retry_after.isdigit() else None,
             )
         return head, decode_response(head)
 
-    async def _sent(self, left_ms: int) -> UpstreamConnection:
-        """Send on an idle connection, or on a new one if that has just ended."""
-        call = self._errand.call
+    async def _send(self, left_ms: int) -> UpstreamConnection:
+        """Send on an idle connection, or on a new one if the idle one has just been closed."""
+        call = self._request.call
         data = request_bytes(call.method, call.target, self._headers(left_ms), call.body)
         expected = (REQUEST_ID, call.request_id.encode("latin-1")) if call.request_id else None
         for fresh in (False, True):
@@ -187,86 +194,86 @@
                 self._conn = await self._pool.acquire(self._address, fresh=fresh)
                 self._conn.send(data, expected_id=expected)
             except ConnectFailedError as exc:
-                raise NotSentError(str(exc), unreachable=True) from exc
+                raise NotRunError(str(exc), unreachable=True) from exc
             except BrokenResponseError as exc:
                 # Nothing was sent: the other end closed the connection while it was idle.
                 self.close()
-                why = str(exc)
+                reason = str(exc)
             else:
                 return self._conn
-        raise NotSentError(why)
+        raise NotRunError(reason)
 
     def _headers(self, left_ms: int) -> RawHeaders:
-        errand = self._errand
+        request = self._request
         match self._target:
-            case ToServer(standing):
+            case ServerTarget(server_state):
                 return server_headers(
-                    errand.call,
-                    server_id=standing.server.id,
-                    account=errand.account,
+                    request.call,
+                    server_id=server_state.server.id,
+                    account=request.account,
                     left_ms=left_ms,
-                    urgency=errand.urgency,
-                    resume_after=errand.resume_after,
+                    urgency=request.urgency,
+                    resume_after=request.resume_after,
                     copy_from=self._copy_from,
                 )
-            case ToPeer():
-                return (*errand.call.headers, *hop_headers(errand, left_ms))
+            case PeerTarget():
+                return (*request.call.headers, *hop_headers(request, left_ms))
 
-    async def chunk(self) -> bytes:
-        """Return the next bytes of the answer's body, empty at its proper end."""
+    async def read_chunk(self) -> bytes:
+        """Return the next bytes of the response's body, empty at its proper end."""
         if self._conn is None:
-            raise BrokenResponseError("not open", sent=False)
+            raise BrokenResponseError("the attempt has no open connection", sent=False)
         return await self._conn.read_chunk()
 
-    async def body(self) -> bytes:
-        """Read the whole body."""
+    async def read_body(self) -> bytes:
+        """Return the whole body of the response."""
         if self._conn is None:
-            raise BrokenResponseError("not open", sent=False)
+            raise BrokenResponseError("the attempt has no open connection", sent=False)
         return await self._conn.read_body()
 
-    def kept(self) -> None:
-        """Give the connection back after the body was read to its proper end."""
+    def release(self) -> None:
+        """Return the connection to the pool after the body was read to its proper end."""
         if self._conn is not None:
             self._pool.release(self._address, self._conn)
             self._conn = None
 
     def close(self) -> None:
-        """End the connection if it wasn't given back; a run at the other end is cancelled."""
+        """Abort the connection unless it was released; the other end cancels a run."""
         if self._conn is not None:
             self._conn.abort()
             self._conn = None
 
-    def forget_idle(self) -> None:
-        """Give up idle connections to an address that fell silent."""
+    def close_idle(self) -> None:
+        """Close the pool's idle connections to the target's address."""
         self._pool.close_idle(self._address)
 
-    async def _finish(self) -> None:
+    async def _drain_body(self) -> None:
         try:
-            await self.body()
+            await self.read_body()
         except BrokenResponseError:
             self.close()
         else:
-            self.kept()
+            self.release()
 
 
 def address_of(target: Target) -> tuple[str, int]:
-    """Return the address that a target is reached at."""
+    """Return the host and port of a target."""
     match target:
-        case ToServer(standing):
-            return (standing.server.host, standing.server.port)
-        case ToPeer(peer):
+        case ServerTarget(server_state):
+            return (server_state.server.host, server_state.server.port)
+        case PeerTarget(peer):
             return (peer.vm.host, peer.vm.peer_port)
 
 
-def hop_headers(errand: AdmittedRequest, left_ms: int) -> RawHeaders:
-    """Return what a VM tells another one beside the caller's own headers."""
+def hop_headers(request: AdmittedRequest, left_ms: int) -> RawHeaders:
+    """Return the headers that a VM adds to the caller's own when it forwards a request."""
     headers = [
-        (HOP_SERVICE, errand.service.encode("latin-1")),
+        (HOP_SERVICE, request.service.encode("latin-1")),
         (HOP_TIME_LEFT_MS, b"%d" % max(1, left_ms)),
-        (HOP_URGENCY, b"%d" % errand.urgency),
+        (HOP_URGENCY, b"%d" % request.urgency),
     ]
-    if errand.account is not None:
-        headers.append((HOP_ACCOUNT, errand.account.encode("latin-1")))
-    if errand.resume_after is not None:
-        headers.append((HOP_RESUME_AFTER, errand.resume_after.encode("latin-1")))
+    if request.account is not None:
+        headers.append((HOP_ACCOUNT, request.account.encode("latin-1")))
+    if request.resume_after is not None:
+        headers.append((HOP_RESUME_AFTER, request.resume_after.encode("latin-1")))
     return tuple(headers)
--- a/src/hickorybeam/gateway/coordinator_ranking.py
+++ b/src/hickorybeam/gateway/coordinator_ranking.py
@@ -1,4 +1,4 @@
-"""Which VM of this region places a service's prompts, and which may warm its cold servers."""
+"""Rank the VMs of this region as placement coordinators and as senders to cold servers."""
 
 from __future__ import annotations
 
@@ -17,52 +17,61 @@
 
 
 class CoordinatorRanking:
-    """The region's VMs in the order in which they place, as this VM sees them.
+    """The region's VMs ranked as placement coordinators of each service, as this VM knows them.
 
-    :param me: the VM of this process.
-    :param stays: whether it runs for a while yet and has heard of all others.
+    :param own_vm: the VM of this process.
+    :param is_stable: returns whether this VM has run long enough for the others to know it, and
+        is not leaving.
     """
 
-    def __init__(self, me: GatewayVm, peers: PeerTable, stays: Callable[[], bool]) -> None:
-        self._me = me
+    def __init__(self, own_vm: GatewayVm, peers: PeerTable, is_stable: Callable[[], bool]) -> None:
+        self._own_vm = own_vm
         self._peers = peers
-        self._stays = stays
-        self._orders: dict[str, list[str]] = {}
+        self._is_stable = is_stable
+        self._rankings: dict[str, list[str]] = {}
 
     def invalidate(self) -> None:
-        """Forget the orders; VMs may have come or gone."""
-        self._orders.clear()
+        """Drop the cached rankings; VMs may have come or gone."""
+        self._rankings.clear()
 
-    def coordinator(self, service: str, *, silent: Collection[str] = ()) -> str:
-        """Return the VM that places a service's prompts, this one where each decides alone.
+    def coordinator(self, service: str, *, unresponsive: Collection[str] = ()) -> str:
+        """Return the VM that places a service's prompts; this one if each VM places its own.
 
-        :param silent: VMs that did not answer lately.
+        :param unresponsive: VMs that did not respond lately.
         """
-        order = self.ranking(service)
-        return next((name for name in order if name not in silent), self._me.name)
+        ranking = self.ranking(service)
+        return next((name for name in ranking if name not in unresponsive), self._own_vm.name)
 
     def is_coordinator(self, service: str) -> bool:
-        """Whether this VM places a service's prompts for the others of the region."""
-        return self.ranking(service)[:1] == [self._me.name]
+        """Return whether this VM places a service's prompts for the others of the region."""
+        return self.ranking(service)[:1] == [self._own_vm.name]
 
     def cold_server_senders(self, server: RegisteredServer) -> list[str]:
         """Return the VMs that may choose a server while it is cold.
 
-        Where one VM places for all, it is one of them: others would hardly ever be asked to.
+        The placement coordinator is one of them: it places all prompts, so other VMs would hardly
+        ever get to choose the server.
         """
-        order = self.ranking(server.service)
-        return order[:OWNERS_PER_COLD_SERVER] if order else cold_server_owners(server.id, self.serving_vms())
+        ranking = self.ranking(server.service)
+        return (
+            ranking[:OWNERS_PER_COLD_SERVER]
+            if ranking
+            else cold_server_owners(server.id, self.serving_vms())
+        )
 
     def serving_vms(self) -> list[str]:
-        """Return the names of the VMs of this region, this one included."""
-        return [self._me.name, *(vm.name for vm in self._peers.serving_vms(self._me.region))]
+        """Return the names of this region's VMs that accept requests, this one included."""
+        return [
+            self._own_vm.name,
+            *(vm.name for vm in self._peers.serving_vms(self._own_vm.region)),
+        ]
 
     def ranking(self, service: str) -> list[str]:
-        """Return the VMs that place a service's prompts, in order; none where each does."""
-        order = self._orders.get(service)
-        if order is None:
-            steady = self._peers.stable_vms()
-            if self._stays():
-                steady[self._me.name] = self._me.power
-            order = self._orders[service] = rank_coordinators(service, steady)
-        return order
+        """Return the coordinators of a service, best first; empty if each VM places its own."""
+        ranking = self._rankings.get(service)
+        if ranking is None:
+            stable = self._peers.stable_vms()
+            if self._is_stable():
+                stable[self._own_vm.name] = self._own_vm.power
+            ranking = self._rankings[service] = rank_coordinators(service, stable)
+        return ranking
--- a/src/hickorybeam/gateway/final_responses.py
+++ b/src/hickorybeam/gateway/final_responses.py
@@ -1,39 +1,44 @@
-"""The final answers of the gateway's own: refusals, and what is said when a request is given up."""
+"""Final responses by the gateway itself: refusals, and the end of requests that it gives up."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
 from hickorybeam.errors import ErrorKind, GatewayError, Ran, error_response
-from hickorybeam.gateway.attempt import HOP_RETRY_AFTER_MS, HOP_NOT_RUN, NOT_ASKED, REJECTED
-from hickorybeam.gateway.progress import name_of
-from hickorybeam.platform import response_headers, refusal_headers
+from hickorybeam.gateway.attempt import (
+    HOP_NOT_RUN,
+    HOP_RETRY_AFTER_MS,
+    NO_SERVER_ASKED,
+    REJECTED,
+)
+from hickorybeam.gateway.progress import target_name
+from hickorybeam.platform import refusal_headers, response_headers
 from hickorybeam.policy.retry_after import clamp_retry_after_ms, outage_retry_after_ms
 
 if TYPE_CHECKING:
     from hickorybeam.clock import Clock
     from hickorybeam.gateway.attempt import AdmittedRequest, Target
     from hickorybeam.gateway.feed import FeedService
+    from hickorybeam.gateway.progress import RequestProgress
     from hickorybeam.gateway.target_selector import TargetSelector
-    from hickorybeam.gateway.progress import Progress
     from hickorybeam.http1 import RawHeaders, ResponseWriter
     from hickorybeam.model.routing import RelayCall
     from hickorybeam.telemetry import Counters
     from hickorybeam.telemetry.decisions import DecisionLog
 
-__all__ = ("Endings",)
+__all__ = ("FinalResponses",)
 
 
-def hop_mark(progress: Progress, come_back_ms: int | None) -> RawHeaders:
-    """Return what tells the VM that handed a request over that it was not run here."""
-    if not progress.here_only:
+def not_run_headers(progress: RequestProgress, retry_after_ms: int | None) -> RawHeaders:
+    """Return the headers that tell the VM which forwarded a request that it was not run here."""
+    if not progress.own_region_only:
         return ()
-    mark = (HOP_NOT_RUN, REJECTED if progress.arrived else NOT_ASKED)
-    return (mark, (HOP_RETRY_AFTER_MS, b"%d" % (come_back_ms or 0)))
+    not_run = (HOP_NOT_RUN, REJECTED if progress.may_have_arrived else NO_SERVER_ASKED)
+    return (not_run, (HOP_RETRY_AFTER_MS, b"%d" % (retry_after_ms or 0)))
 
 
-class Endings:
-    """Writes, counts and logs final answers."""
+class FinalResponses:
+    """Sends, counts and logs final responses."""
 
     def __init__(
         self,
@@ -41,123 +46,133 @@
         clock: Clock,
         counters: Counters,
         feed: FeedService,
-        placing: TargetSelector,
+        selector: TargetSelector,
         log: DecisionLog,
     ) -> None:
         self._clock = clock
         self._feed = feed
-        self._placing = placing
+        self._selector = selector
         self._counters = counters
         self._log = log
 
-    def give_up(self, errand: AdmittedRequest, progress: Progress) -> None:
-        """Give the final answer to a request that will not be run, or not again."""
-        reply = progress.reply
-        ran = progress.ran
-        self.note(
+    def give_up(self, request: AdmittedRequest, progress: RequestProgress) -> None:
+        """Send the final response to a request that will not be run, or not again."""
+        response = progress.response
+        may_have_run = progress.may_have_run
+        self.log_decision(
             "gave_up",
-            errand,
+            request,
             None,
-            why=progress.why,
-            ran=ran,
+            why=progress.reason,
+            ran=may_have_run,
             sends=progress.sends,
             tried=sorted(progress.tried),
         )
-        if reply.started:
-            reply.abort()
-            self.count(errand, "cut")
+        if response.started:
+            response.abort()
+            self.count_outcome(request, "cut")
             return
-        if progress.failed is not None:
-            head, facts, body = progress.failed
-            # A server's status that would promise that it didn't run can't be passed on.
-            if facts.signed and not facts.implies_not_run:
-                reply.send(facts.status, response_headers(head.headers), body)
-                self.count(errand, "failed")
+        if progress.failed_response is not None:
+            head, info, body = progress.failed_response
+            # A status that implies that nothing ran can't be passed on: the request may have run.
+            if info.signed and not info.implies_not_run:
+                response.send(info.status, response_headers(head.headers), body)
+                self.count_outcome(request, "failed")
                 return
-        if not ran:
-            kind, after = self._not_run(errand, progress)
-        elif progress.why == "deadline":
-            kind, after = ErrorKind.BACKEND_SILENT, None
+        if not may_have_run:
+            kind, retry_after_ms = self._not_run_error(request, progress)
+        elif progress.reason == "deadline":
+            kind, retry_after_ms = ErrorKind.BACKEND_SILENT, None
         else:
-            kind, after = ErrorKind.BACKEND_UNKNOWN, None
-        exc = GatewayError(kind, progress.why, retry_after_ms=after)
-        self.refuse(errand.call, reply, exc, progress)
-
-    def _not_run(self, errand: AdmittedRequest, progress: Progress) -> tuple[ErrorKind, int]:
-        """Return why nothing ran a request, and when its caller should come back."""
+            kind, retry_after_ms = ErrorKind.BACKEND_UNKNOWN, None
+        exc = GatewayError(kind, progress.reason, retry_after_ms=retry_after_ms)
+        self.refuse(request.call, response, exc, progress)
+
+    def _not_run_error(
+        self, request: AdmittedRequest, progress: RequestProgress
+    ) -> tuple[ErrorKind, int]:
+        """Return the kind of error for a request that nothing ran, and its retry-after."""
         now = self._clock.now()
-        left_ms = errand.deadline_ms - now
-        if progress.room_in_ms is not None:
-            return ErrorKind.OVERLOADED, clamp_retry_after_ms(progress.room_in_ms, left_ms)
-        after = outage_retry_after_ms(
-            outage_ms=self._placing.away_ms(errand.service, now),
+        left_ms = request.deadline_ms - now
+        if progress.retry_after_ms is not None:
+            return ErrorKind.OVERLOADED, clamp_retry_after_ms(progress.retry_after_ms, left_ms)
+        retry_after_ms = outage_retry_after_ms(
+            outage_ms=self._selector.outage_ms(request.service, now),
             recovery_ms=self._feed.server_recovery_ms(now),
             left_ms=left_ms,
         )
-        return ErrorKind.NO_BACKEND, after
+        return ErrorKind.NO_BACKEND, retry_after_ms
 
     def refuse(
-        self, call: RelayCall, reply: ResponseWriter, exc: GatewayError, progress: Progress | None = None
+        self,
+        call: RelayCall,
+        response: ResponseWriter,
+        exc: GatewayError,
+        progress: RequestProgress | None = None,
     ) -> None:
-        """Send an answer of the gateway's own.
+        """Send an error response of the gateway's own.
 
         :param progress: what has happened to the request, if it was admitted.
         """
-        answer = error_response(exc.kind)
+        error = error_response(exc.kind)
         config = self._feed.routing_state.config
         self._counters.refusals.labels(exc.kind.value).inc()
         self._log.write(
             "refused",
             request=call.request_id,
             kind=exc.kind.value,
-            status=answer.status,
-            ran=answer.ran is not Ran.NO,
+            status=error.status,
+            ran=error.ran is not Ran.NO,
             retry_after_ms=exc.retry_after_ms,
             config=config.version if config else None,
         )
         headers = refusal_headers(call.request_id, retry_after_ms=exc.retry_after_ms)
-        if answer.ran is Ran.NO and progress is not None:
-            headers = (*headers, *hop_mark(progress, exc.retry_after_ms))
-        reply.send(answer.status, headers, close=exc.kind is ErrorKind.DRAINING)
+        if error.ran is Ran.NO and progress is not None:
+            headers = (*headers, *not_run_headers(progress, exc.retry_after_ms))
+        response.send(error.status, headers, close=exc.kind is ErrorKind.DRAINING)
 
-    def answered(self, errand: AdmittedRequest, target: Target, progress: Progress) -> None:
-        """Count a good answer, and log why it was late if it was.
+    def record_success(
+        self, request: AdmittedRequest, target: Target, progress: RequestProgress
+    ) -> None:
+        """Count a complete response, and log the details of one that missed its objective.
 
-        A request that another VM handed over is judged there, where its objective is known.
+        A request that another VM forwarded is judged there, where its objective is known.
         """
-        pace, route = progress.pace, errand.route
-        first_ms = (pace.first_ms or self._clock.now()) - errand.call.arrived_ms
+        timing, route = progress.timing, request.route
+        first_ms = (timing.first_ms or self._clock.now()) - request.call.arrived_ms
         too_late = first_ms > route.target_ms
-        paused = 0 < route.gap_ms < pace.longest_gap_ms
-        if progress.here_only or not (too_late or paused):
-            self.count(errand, "answered")
+        paused = 0 < route.gap_ms < timing.longest_gap_ms
+        if progress.own_region_only or not (too_late or paused):
+            self.count_outcome(request, "answered")
             return
-        self.count(errand, "late")
-        self.note(
+        self.count_outcome(request, "late")
+        self.log_decision(
             "late",
-            errand,
+            request,
             target,
             first_ms=first_ms,
             target_ms=route.target_ms,
             paused=paused,
-            in_line_ms=progress.waited_ms,
-            foreseen_ms=round(progress.foreseen_ms),
-            longest_gap_ms=pace.longest_gap_ms,
-            prompt_tokens=errand.call.prompt_tokens,
+            in_line_ms=progress.placement_ms,
+            foreseen_ms=round(progress.expected_wait_ms),
+            longest_gap_ms=timing.longest_gap_ms,
+            prompt_tokens=request.call.prompt_tokens,
             sends=progress.sends,
         )
 
-    def count(self, errand: AdmittedRequest, outcome: str) -> None:
+    def count_outcome(self, request: AdmittedRequest, outcome: str) -> None:
         """Count how a request ended."""
-        self._counters.requests.labels(errand.route.name, outcome).inc()
+        self._counters.requests.labels(request.route.name, outcome).inc()
 
-    def note(self, event: str, errand: AdmittedRequest, target: Target | None, **fields: object) -> None:
+    def log_decision(
+        self, event: str, request: AdmittedRequest, target: Target | None, **fields: object
+    ) -> None:
         """Log a decision about a request."""
         self._log.write(
             event,
-            request=errand.call.request_id,
-            route=errand.route.name,
-            target=name_of(target) if target else None,
-            left_ms=errand.deadline_ms - self._clock.now(),
+            request=request.call.request_id,
+            route=request.route.name,
+            target=target_name(target) if target else None,
+            left_ms=request.deadline_ms - self._clock.now(),
             **fields,
         )
--- a/src/hickorybeam/gateway/in_flight.py
+++ b/src/hickorybeam/gateway/in_flight.py
@@ -1,4 +1,4 @@
-"""What one request adds to its server, from its send to its end."""
+"""Accounting of one request at its backend server, from its send to its end."""
 
 from __future__ import annotations
 
@@ -9,92 +9,96 @@
 
 if TYPE_CHECKING:
     from hickorybeam.clock import Clock
+    from hickorybeam.gateway.placement_client import SlotGrant
     from hickorybeam.gateway.service_queue import ServiceQueue
-    from hickorybeam.gateway.placement_client import Grant
     from hickorybeam.policy.server_choice import ServerState
 
-__all__ = ("Burden",)
+__all__ = ("InFlightRequest",)
 
 
 @dataclass(slots=True, kw_only=True)
-class Burden:
-    """A request as this VM counts it at a server.
+class InFlightRequest:
+    """A request that this VM counts in a server's state while it is in flight.
 
-    ``given``: another VM sends it, to which this one gave the place. ``reading`` prompt tokens
-    are its own, as long as they aren't read; ``ahead`` were to be read there when it was sent at
-    ``sent_ms``, its own and known others. ``size`` is what it holds in the server's memory, in
-    tokens. ``wait_ms`` was foreseen until its first event. Parts of it are copied from
-    ``copy_from``, a server's ``host:port``, if any. Its answer has ``output`` tokens at most, the
-    first of them at ``read_ms``. Where another VM gave it its place by a ``grant``, that one is
-    told how it goes on.
+    ``granted``: another VM sends it, in a slot that this one granted. ``prefill_tokens`` are the
+    tokens of its prompt that the server still has to prefill; ``backlog_tokens`` are those that
+    the server had to prefill when it was sent at ``sent_ms``: its own and all known others.
+    ``held_tokens`` is what it takes of the server's memory. ``expected_wait_ms`` was expected
+    until its first event. ``copy_from`` is the ``host:port`` of a server that parts of its prompt
+    are copied from, if any. Its response has at most ``max_output_tokens``, the first of them at
+    ``first_event_ms``. If another VM granted its slot, ``grant`` reports its progress there.
     """
 
     clock: Clock
-    line: ServiceQueue
-    standing: ServerState
-    given: bool
-    size: int
-    reading: int
-    ahead: int
+    queue: ServiceQueue
+    server_state: ServerState
+    granted: bool
+    held_tokens: int
+    prefill_tokens: int
+    backlog_tokens: int
     sent_ms: int
-    wait_ms: float
+    expected_wait_ms: float
     copy_from: str | None
-    output: int
-    grant: Grant | None = None
-    read_ms: int | None = None
+    max_output_tokens: int
+    grant: SlotGrant | None = None
+    first_event_ms: int | None = None
     ended: bool = False
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """Count it at its server."""
-        self._add(1, self.reading, self.size)
+        self._add(1, self.prefill_tokens, self.held_tokens)
         if self.grant is not None:
-            self.grant.begin(reading=self.reading, size=self.size)
+            self.grant.start(prefill_tokens=self.prefill_tokens, held_tokens=self.held_tokens)
 
-    def has_read(self) -> None:
-        """Take the first sign of an answer: its prompt is read."""
+    def record_prefill(self) -> None:
+        """Record the first sign of a response: its prompt is prefilled."""
         if self.copy_from is None:
-            self.standing.speed.record_prefill(self.ahead, self.clock.now() - self.sent_ms)
-        self._add(0, -self.reading, 0)
-        self.reading = 0
-        self.read_ms = self.clock.now()
+            self.server_state.speed.record_prefill(
+                self.backlog_tokens, self.clock.now() - self.sent_ms
+            )
+        self._add(0, -self.prefill_tokens, 0)
+        self.prefill_tokens = 0
+        self.first_event_ms = self.clock.now()
         if self.grant is not None:
-            self.grant.has_read()
+            self.grant.report_prefill()
 
-    def end(self, ending: SendStatus) -> None:
-        """Take it off its server, once."""
+    def end(self, status: SendStatus) -> None:
+        """Stop counting it at its server; further calls do nothing."""
         if self.ended:
             return
         self.ended = True
-        if ending is SendStatus.ANSWERED and self.read_ms is not None:
-            self.standing.speed.record_decode(self.output, self.clock.now() - self.read_ms)
-        self._add(-1, -self.reading, -self.size)
-        self.line.departed()
+        if status is SendStatus.ANSWERED and self.first_event_ms is not None:
+            self.server_state.speed.record_decode(
+                self.max_output_tokens, self.clock.now() - self.first_event_ms
+            )
+        self._add(-1, -self.prefill_tokens, -self.held_tokens)
+        self.queue.record_departure()
         if self.grant is not None:
-            self.grant.end(ending)
+            self.grant.report_end(status)
 
-    def told(self, ending: SendStatus) -> None:
-        """Take what the VM that sends it says of it."""
-        match ending:
+    def apply_status(self, status: SendStatus) -> None:
+        """Apply a status that the VM which sends the request reported."""
+        match status:
             case SendStatus.READ:
-                self.has_read()
+                self.record_prefill()
                 return
             case SendStatus.ANSWERED:
-                self.standing.record_success()
+                self.server_state.record_success()
             case SendStatus.FAILED:
-                self.standing.record_failure()
+                self.server_state.record_failure()
             case SendStatus.UNREACHABLE:
-                self.standing.record_unreachable(self.clock.now())
+                self.server_state.record_unreachable(self.clock.now())
             case SendStatus.LEFT:
                 pass
-        self.end(ending)
+        self.end(status)
 
-    def _add(self, running: int, reading: int, holding: int) -> None:
-        it = self.standing
-        if self.given:
-            it.granted_requests += running
-            it.granted_prefill_tokens += reading
-            it.granted_held_tokens += holding
+    def _add(self, requests: int, prefill_tokens: int, held_tokens: int) -> None:
+        state = self.server_state
+        if self.granted:
+            state.granted_requests += requests
+            state.granted_prefill_tokens += prefill_tokens
+            state.granted_held_tokens += held_tokens
         else:
-            it.own_requests += running
-            it.own_prefill_tokens += reading
-            it.own_held_tokens += holding
+            state.own_requests += requests
+            state.own_prefill_tokens += prefill_tokens
+            state.own_held_tokens += held_tokens
--- a/src/hickorybeam/gateway/local_placement.py
+++ b/src/hickorybeam/gateway/local_placement.py
@@ -1,10 +1,10 @@
-"""Where a request goes now, after a wait in line where there is no room yet."""
+"""Place requests by what this VM knows, queueing them while no server has a free slot."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
-from hickorybeam.gateway.target_selector import Full
+from hickorybeam.gateway.target_selector import NoCapacity
 from hickorybeam.policy.retry_after import clamp_retry_after_ms, max_retry_after_ms
 from hickorybeam.policy.wait_queue import max_deferral_ms, max_queue_wait_ms
 
@@ -12,80 +12,92 @@
     from hickorybeam.clock import Clock
     from hickorybeam.gateway.attempt import AdmittedRequest, Target
     from hickorybeam.gateway.service_queue import ServiceQueues
-    from hickorybeam.gateway.target_selector import OpenTargets, TargetSelector
+    from hickorybeam.gateway.target_selector import TargetFilter, TargetSelector
     from hickorybeam.policy.wait_queue import QueueEntry
 
 __all__ = ("LocalPlacement",)
 
 
 class LocalPlacement:
-    """Places requests by what this VM knows, its own and those of VMs that ask it to."""
+    """Places this VM's own requests, and those of VMs that ask it as placement coordinator."""
 
     def __init__(self, *, clock: Clock, queues: ServiceQueues, selector: TargetSelector) -> None:
         self._clock = clock
-        self._lines = queues
-        self._placing = selector
-
-    async def place(self, errand: AdmittedRequest, targets: OpenTargets) -> Target | Full | None:
-        """Return where it goes; ``Full`` if it found no room within what it may wait."""
-        found = self._placing.choose(errand, targets)
-        if not isinstance(found, Full):
+        self._queues = queues
+        self._selector = selector
+
+    async def place(
+        self, request: AdmittedRequest, targets: TargetFilter
+    ) -> Target | NoCapacity | None:
+        """Return a request's target; ``NoCapacity`` if it got no slot within its maximum wait."""
+        found = self._selector.choose(request, targets)
+        if not isinstance(found, NoCapacity):
             return found
-        place = self.enter(errand, found)
-        if place is not None:
-            found = await self.wait(errand, targets, place)
-        return self.at_last(errand, targets, found) if isinstance(found, Full) else found
-
-    def enter(self, errand: AdmittedRequest, found: Full) -> QueueEntry | None:
-        """Take a place in line, or none where the wait would be longer than it may wait.
-
-        :param found: why it was not placed at once.
+        entry = self.enqueue(request, found)
+        if entry is not None:
+            found = await self.wait_for_slot(request, targets, entry)
+        return (
+            self.choose_without_deferral(request, targets, found)
+            if isinstance(found, NoCapacity)
+            else found
+        )
+
+    def enqueue(self, request: AdmittedRequest, found: NoCapacity) -> QueueEntry | None:
+        """Enter the service's queue; ``None`` if the wait would exceed the request's maximum.
+
+        :param found: why the request was not placed at once.
         """
-        if found.in_vain:
+        if found.misses_deadline:
             return None
         now = self._clock.now()
-        patience = patience_of(errand, now, late=found.late)
-        return self._lines.of(errand.service).policy.enter(errand.urgency, patience, now)
-
-    async def wait(
-        self, errand: AdmittedRequest, targets: OpenTargets, place: QueueEntry
-    ) -> Target | Full | None:
-        """Wait in line for room."""
-        line = self._lines.of(errand.service)
+        max_wait = max_wait_ms(request, now, deferred=found.deferred)
+        return self._queues.for_service(request.service).wait_queue.enter(
+            request.urgency, max_wait, now
+        )
+
+    async def wait_for_slot(
+        self, request: AdmittedRequest, targets: TargetFilter, entry: QueueEntry
+    ) -> Target | NoCapacity | None:
+        """Wait in the queue until a target is found or the entry expires."""
+        queue = self._queues.for_service(request.service)
         try:
-            while await line.pause(place):
-                if line.is_next(place):
-                    target = self._placing.choose(errand, targets)
-                    if not isinstance(target, Full) or target.in_vain:
+            while await queue.wait_for_turn(entry):
+                if queue.is_near_front(entry):
+                    target = self._selector.choose(request, targets)
+                    if not isinstance(target, NoCapacity) or target.misses_deadline:
                         return target
-            return Full(line.policy.expected_wait_ms(errand.urgency, self._clock.now()))
+            return NoCapacity(queue.wait_queue.expected_wait_ms(request.urgency, self._clock.now()))
         finally:
-            line.leave(place)
+            queue.leave(entry)
 
-    def at_last(self, errand: AdmittedRequest, targets: OpenTargets, found: Full) -> Target | Full | None:
-        """Choose once more for one that need not wait any longer for being late."""
-        if found.in_vain:
+    def choose_without_deferral(
+        self, request: AdmittedRequest, targets: TargetFilter, found: NoCapacity
+    ) -> Target | NoCapacity | None:
+        """Choose once more, now without deferring a request that will miss its objective."""
+        if found.misses_deadline:
             return found
-        return self._placing.choose(errand, targets.without_patience())
+        return self._selector.choose(request, targets.without_deferral())
 
-    def come_back_ms(self, errand: AdmittedRequest) -> int:
-        """Return when a caller for whom there is no room should come back."""
+    def retry_after_ms(self, request: AdmittedRequest) -> int:
+        """Return the retry-after for a request that no server has a slot for."""
         now = self._clock.now()
-        left_ms = errand.deadline_ms - now
-        line = self._lines.of(errand.service).policy
-        after = line.retry_after_ms(errand.urgency, max_retry_after_ms(left_ms), now)
-        return clamp_retry_after_ms(after, left_ms)
+        left_ms = request.deadline_ms - now
+        wait_queue = self._queues.for_service(request.service).wait_queue
+        retry_after_ms = wait_queue.retry_after_ms(
+            request.urgency, max_retry_after_ms(left_ms), now
+        )
+        return clamp_retry_after_ms(retry_after_ms, left_ms)
 
 
-def patience_of(errand: AdmittedRequest, now_ms: int, *, late: bool) -> int:
-    """Return how long a request may wait in line.
+def max_wait_ms(request: AdmittedRequest, now_ms: int, *, deferred: bool) -> int:
+    """Return how long a request may wait in the queue.
 
-    :param late: it waits since it could only be late.
+    :param deferred: it waits because it would miss its objective at any server.
     """
-    target_ms, elapsed_ms = errand.route.target_ms, now_ms - errand.call.arrived_ms
-    usual = max_queue_wait_ms(target_ms=target_ms, elapsed_ms=elapsed_ms)
-    if not late:
-        return usual
-    left_ms = errand.deadline_ms - now_ms
-    longer = max_deferral_ms(target_ms=target_ms, elapsed_ms=elapsed_ms, left_ms=left_ms)
-    return max(usual, longer)
+    target_ms, elapsed_ms = request.route.target_ms, now_ms - request.call.arrived_ms
+    usual_ms = max_queue_wait_ms(target_ms=target_ms, elapsed_ms=elapsed_ms)
+    if not deferred:
+        return usual_ms
+    left_ms = request.deadline_ms - now_ms
+    deferral_ms = max_deferral_ms(target_ms=target_ms, elapsed_ms=elapsed_ms, left_ms=left_ms)
+    return max(usual_ms, deferral_ms)
--- a/src/hickorybeam/gateway/placement_client.py
+++ b/src/hickorybeam/gateway/placement_client.py
@@ -1,4 +1,4 @@
-"""A VM's questions to the one that places for its region."""
+"""Ask the placement coordinator of this region for targets, and report how requests go on."""
 
 from __future__ import annotations
 
@@ -11,252 +11,292 @@
 import anyio
 
 from hickorybeam.clock import MS_PER_SECOND
-from hickorybeam.gateway.attempt import ToPeer, ToServer
-from hickorybeam.gateway.placement_messages import SendStatus, PlacementResponse, HeldPlacements, PlacementUpdate, PlacementResult, PlacementRequest
-from hickorybeam.gateway.target_selector import Full, Nowhere
+from hickorybeam.gateway.attempt import PeerTarget, ServerTarget
+from hickorybeam.gateway.placement_messages import (
+    HeldPlacements,
+    PlacementRequest,
+    PlacementResponse,
+    PlacementResult,
+    PlacementUpdate,
+    SendStatus,
+)
 from hickorybeam.gateway.status_report import NO_USAGE, add_usage
+from hickorybeam.gateway.target_selector import NoCapacity, NoTarget
 
 if TYPE_CHECKING:
     from hickorybeam.clock import Clock
     from hickorybeam.gateway.attempt import AdmittedRequest, Target
     from hickorybeam.gateway.fleet import FleetService
     from hickorybeam.gateway.routing_state import RoutingState
-    from hickorybeam.gateway.target_selector import OpenTargets
     from hickorybeam.gateway.status_report import GrantedUsage, ServerUsage
+    from hickorybeam.gateway.target_selector import TargetFilter
     from hickorybeam.policy.server_choice import ServerState
     from hickorybeam.telemetry import Counters
 
-__all__ = ("Grant", "PlaceAsker")
-
-# An answer takes a few ms; after this long the question or the answer was lost, in ms.
-ASK_AGAIN_MS = 40
-# One that waits in line is asked for again after this long, in case that its answer was lost.
-WAITING_AGAIN_MS = 300
-# After so many unanswered questions the VM decides alone, and asks the next one in order.
-MOST_UNANSWERED = 3
-SILENT_FOR_MS = 2_000
-# While so many VMs are silent, it is this one that is cut off: it asks nobody. Asking one after
-# the other, it would hold each request for a tenth of a second.
-MOST_SILENT = 2
-# What is still held is told whole this often, in case that the word on an end was lost.
-STILL_EVERY_MS = 800
-FIRST_NUMBER_BITS = 40
-# Each word on an end repeats those told before it: a place whose end was lost on the way would
-# stay taken until all that is held is told again, and others' prompts be refused for it.
-ENDS_TOLD = 4
+__all__ = ("PlacementClient", "SlotGrant")
+
+# A response takes a few ms; after this long the request or the response was lost.
+RESPONSE_TIMEOUT_MS = 40
+# A request that is queued at the coordinator is resent after this long, in case that its response
+# was lost.
+QUEUED_RESPONSE_TIMEOUT_MS = 300
+# After so many requests without a response the VM places by itself, and skips the coordinator for
+# UNRESPONSIVE_MS: later requests go to the next one in the ranking.
+MAX_UNANSWERED = 3
+UNRESPONSIVE_MS = 2_000
+# If so many coordinators are unresponsive, this VM is the isolated one and asks none. Asking one
+# after the other would delay each request by a tenth of a second.
+MIN_UNRESPONSIVE_WHEN_ISOLATED = 2
+# All held grants are listed this often, in case that the update on an end was lost.
+HELD_REPORT_INTERVAL_MS = 800
+INITIAL_NUMBER_BITS = 40
+# Each update on an end repeats the ends before it. A slot whose end was lost would stay taken
+# until the held grants are listed, and other prompts would be refused for it.
+ENDS_PER_UPDATE = 4
 
 
 @dataclass(slots=True)
-class Question:
-    """One request that wants a place, until it has one."""
-
-    answer: PlacementResponse | None = None
-    answered: anyio.Event = field(default_factory=anyio.Event)
-
-    def take(self, answer: PlacementResponse) -> None:
-        """Take an answer and wake who waits for it."""
-        self.answer = answer
-        self.answered.set()
-
-    async def within(self, ms: float) -> PlacementResponse | None:
-        """Return the next answer, if one comes in time."""
-        with anyio.move_on_after(ms / MS_PER_SECOND):
-            await self.answered.wait()
-        found, self.answer, self.answered = self.answer, None, anyio.Event()
+class PendingRequest:
+    """A placement request that waits for a response."""
+
+    response: PlacementResponse | None = None
+    responded: anyio.Event = field(default_factory=anyio.Event)
+
+    def set_response(self, response: PlacementResponse) -> None:
+        """Store a response and wake the task that waits for it."""
+        self.response = response
+        self.responded.set()
+
+    async def wait(self, timeout_ms: float) -> PlacementResponse | None:
+        """Return the next response, or ``None`` after the timeout."""
+        with anyio.move_on_after(timeout_ms / MS_PER_SECOND):
+            await self.responded.wait()
+        found, self.response, self.responded = self.response, None, anyio.Event()
         return found
 
 
 @dataclass(slots=True, kw_only=True, eq=False)
-class Grant:
-    """A place at a server that another VM gave to a request of this one."""
+class SlotGrant:
+    """A slot at a server that the coordinator granted to a request of this VM.
 
-    asker: PlaceAsker
-    placer: str
+    ``usage`` is what this VM counts at the server for the request.
+    """
+
+    client: PlacementClient
+    coordinator: str
     number: int
-    standing: ServerState
+    server_state: ServerState
     copy_from: str | None
-    wait_ms: float
-    figures: ServerUsage = NO_USAGE
+    expected_wait_ms: float
+    usage: ServerUsage = NO_USAGE
 
-    def begin(self, *, reading: int, size: int) -> None:
-        """Take note of what this VM counts for it itself."""
-        self.figures = (1, reading, size)
+    def start(self, *, prefill_tokens: int, held_tokens: int) -> None:
+        """Record what this VM counts at the server when it sends the request."""
+        self.usage = (1, prefill_tokens, held_tokens)
 
-    def has_read(self) -> None:
-        """Tell that its prompt is read."""
-        running, _, size = self.figures
-        self.figures = (running, 0, size)
-        self.asker.tell(self, SendStatus.READ)
+    def report_prefill(self) -> None:
+        """Report that the request's prompt is prefilled."""
+        requests, _, held_tokens = self.usage
+        self.usage = (requests, 0, held_tokens)
+        self.client.report_status(self, SendStatus.READ)
 
-    def end(self, ending: SendStatus) -> None:
-        """Tell how its send ended."""
-        self.asker.ended(self, ending)
+    def report_end(self, status: SendStatus) -> None:
+        """Report how the request's send ended."""
+        self.client.report_end(self, status)
 
 
-class PlaceAsker:
-    """Asks for places, and tells how the requests go on that got one."""
+class PlacementClient:
+    """Sends placement requests, and reports the status of the requests that were granted a slot."""
 
     def __init__(
-        self, *, clock: Clock, counters: Counters, fleet: FleetService, routing_state: RoutingState
+        self,
+        *,
+        clock: Clock,
+        counters: Counters,
+        fleet: FleetService,
+        routing_state: RoutingState,
     ) -> None:
         self._clock = clock
         self._fleet = fleet
         self._routing_state = routing_state
-        # A later life of this VM must not seem to ask for what an earlier one asked for.
-        self._numbers = itertools.count(random.getrandbits(FIRST_NUMBER_BITS))
-        self._questions: dict[int, Question] = {}
-        self._grants: dict[int, Grant] = {}
-        self._ends: defaultdict[str, deque[tuple[int, SendStatus]]] = defaultdict(
-            lambda: deque(maxlen=ENDS_TOLD)
+        # Random, so that a later incarnation of this VM doesn't reuse an earlier one's numbers.
+        self._numbers = itertools.count(random.getrandbits(INITIAL_NUMBER_BITS))
+        self._pending: dict[int, PendingRequest] = {}
+        self._grants: dict[int, SlotGrant] = {}
+        self._recent_ends: defaultdict[str, deque[tuple[int, SendStatus]]] = defaultdict(
+            lambda: deque(maxlen=ENDS_PER_UPDATE)
         )
-        self._silent: dict[str, int] = {}
+        self._unresponsive_until_ms: dict[str, int] = {}
         self._services: set[str] = set()
-        self._asked = counters.counter("places", "Places asked for", ("answer",))
+        self._results = counters.counter("places", "Placement requests by result", ("answer",))
 
-    def applies(self, errand: AdmittedRequest) -> bool:
-        """Whether another VM places this request: prompts, where the region has several VMs."""
-        return bool(errand.call.parts) and self.placer(errand.service) != self._fleet.own_vm.name
+    def is_remote(self, request: AdmittedRequest) -> bool:
+        """Return whether another VM places a request: prompts, if the region has several VMs."""
+        return (
+            bool(request.call.parts)
+            and self.coordinator(request.service) != self._fleet.own_vm.name
+        )
 
-    def placer(self, service: str) -> str:
-        """Return the VM to ask, this one where it decides itself."""
-        if self._silent:
+    def coordinator(self, service: str) -> str:
+        """Return the VM to ask for a service, this one if it places by itself."""
+        if self._unresponsive_until_ms:
             now = self._clock.now()
-            self._silent = {vm: until for vm, until in self._silent.items() if until > now}
-        if len(self._silent) >= MOST_SILENT:
+            self._unresponsive_until_ms = {
+                vm: until for vm, until in self._unresponsive_until_ms.items() if until > now
+            }
+        if len(self._unresponsive_until_ms) >= MIN_UNRESPONSIVE_WHEN_ISOLATED:
             return self._fleet.own_vm.name
-        return self._fleet.coordinators.coordinator(service, silent=self._silent)
+        return self._fleet.coordinators.coordinator(
+            service, unresponsive=self._unresponsive_until_ms
+        )
 
     async def run(self) -> None:
-        """Tell what is still held, until cancelled."""
+        """List the held grants in intervals, until cancelled."""
         while True:
-            await self._clock.sleep(STILL_EVERY_MS)
-            self._tell_still()
-
-    def _tell_still(self) -> None:
-        """Tell who gives places which of them are still held."""
-        numbers = [*self._questions, *self._grants]
-        for placer in {self.placer(service) for service in self._services}:
-            if placer != self._fleet.own_vm.name:
-                self._fleet.send_message(placer, HeldPlacements(self._fleet.own_vm.name, numbers))
-
-    async def place(self, errand: AdmittedRequest, targets: OpenTargets) -> Target | Full | Nowhere | None:
-        """Ask where a request goes.
-
-        :return: a target, or that there is none or no room; ``None`` if this VM has to decide
-            itself.
+            await self._clock.sleep(HELD_REPORT_INTERVAL_MS)
+            self._report_held()
+
+    def _report_held(self) -> None:
+        """Send the coordinators all numbers that are pending or hold a grant."""
+        numbers = [*self._pending, *self._grants]
+        for coordinator in {self.coordinator(service) for service in self._services}:
+            if coordinator != self._fleet.own_vm.name:
+                self._fleet.send_message(
+                    coordinator, HeldPlacements(self._fleet.own_vm.name, numbers)
+                )
+
+    async def place(
+        self, request: AdmittedRequest, targets: TargetFilter
+    ) -> Target | NoCapacity | NoTarget | None:
+        """Ask the coordinator for a request's target.
+
+        :return: a target, or that there is none or no capacity; ``None`` if this VM has to place
+            the request by itself.
         """
-        placer = self.placer(errand.service)
-        self._services.add(errand.service)
+        coordinator = self.coordinator(request.service)
+        self._services.add(request.service)
         number = next(self._numbers)
-        question = self._questions[number] = Question()
+        pending = self._pending[number] = PendingRequest()
         done = False
         try:
-            answer = await self._answer(placer, number, question, errand, targets)
-            done = answer is not None
-            return self._found(answer, placer, number) if answer else None
+            response = await self._ask(coordinator, number, pending, request, targets)
+            done = response is not None
+            return self._target_of(response, coordinator, number) if response else None
         finally:
-            del self._questions[number]
+            del self._pending[number]
             if not done:
-                # Its caller has left, or nobody answered: a place that is given yet is nobody's.
-                self._end(placer, number, SendStatus.LEFT)
-
-    async def _answer(
-        self, placer: str, number: int, question: Question, errand: AdmittedRequest, targets: OpenTargets
+                # The caller has left or no response came: a slot granted later must not stay taken.
+                self._report_end(coordinator, number, SendStatus.LEFT)
+
+    async def _ask(
+        self,
+        coordinator: str,
+        number: int,
+        pending: PendingRequest,
+        request: AdmittedRequest,
+        targets: TargetFilter,
     ) -> PlacementResponse | None:
-        unanswered, again_ms = 0, ASK_AGAIN_MS
-        while unanswered < MOST_UNANSWERED:
-            self._fleet.send_message(placer, self._wanted(number, errand, targets))
-            answer = await question.within(again_ms)
-            while answer is not None and answer.verdict is PlacementResult.WAITS:
-                unanswered, again_ms = 0, WAITING_AGAIN_MS
-                answer = await question.within(again_ms)
-            if answer is not None:
-                self._asked.labels(answer.verdict.value).inc()
-                return answer
+        """Return the final response, resending as needed; ``None`` if none comes."""
+        unanswered, timeout_ms = 0, RESPONSE_TIMEOUT_MS
+        while unanswered < MAX_UNANSWERED:
+            self._fleet.send_message(coordinator, self._message(number, request, targets))
+            response = await pending.wait(timeout_ms)
+            while response is not None and response.verdict is PlacementResult.WAITS:
+                unanswered, timeout_ms = 0, QUEUED_RESPONSE_TIMEOUT_MS
+                response = await pending.wait(timeout_ms)
+            if response is not None:
+                self._results.labels(response.verdict.value).inc()
+                return response
             unanswered += 1
-        self._silent[placer] = self._clock.now() + SILENT_FOR_MS
-        self._asked.labels("silent").inc()
+        self._unresponsive_until_ms[coordinator] = self._clock.now() + UNRESPONSIVE_MS
+        self._results.labels("silent").inc()
         return None
 
-    def _wanted(self, number: int, errand: AdmittedRequest, targets: OpenTargets) -> PlacementRequest:
-        now, call = self._clock.now(), errand.call
+    def _message(
+        self, number: int, request: AdmittedRequest, targets: TargetFilter
+    ) -> PlacementRequest:
+        now, call = self._clock.now(), request.call
         return PlacementRequest(
             vm=self._fleet.own_vm.name,
             number=number,
-            service=errand.service,
-            account=errand.account,
-            homes=sorted(errand.route.homes),
+            service=request.service,
+            account=request.account,
+            homes=sorted(request.route.homes),
             parts=[(part.id, part.tokens) for part in call.parts],
             prompt_tokens=call.prompt_tokens,
             output_tokens=call.output_tokens,
-            urgency=errand.urgency,
-            target_ms=errand.route.target_ms,
+            urgency=request.urgency,
+            target_ms=request.route.target_ms,
             gone_ms=now - call.arrived_ms,
-            left_ms=errand.deadline_ms - now,
+            left_ms=request.deadline_ms - now,
             tried=sorted(targets.tried),
-            refused=sorted(targets.refused),
-            again=targets.again,
-            here_only=targets.here_only,
+            refused=sorted(targets.refused_regions),
+            again=targets.retry_tried,
+            here_only=targets.own_region_only,
         )
 
-    def _found(self, answer: PlacementResponse, placer: str, number: int) -> Target | Full | Nowhere | None:
-        match answer.verdict:
+    def _target_of(
+        self, response: PlacementResponse, coordinator: str, number: int
+    ) -> Target | NoCapacity | NoTarget | None:
+        match response.verdict:
             case PlacementResult.SERVER:
-                return self._granted(answer, placer, number)
+                return self._accept_grant(response, coordinator, number)
             case PlacementResult.OTHER_REGION:
-                peer = self._fleet.peers.by_name.get(answer.target)
-                return ToPeer(peer) if peer else None
+                peer = self._fleet.peers.by_name.get(response.target)
+                return PeerTarget(peer) if peer else None
             case PlacementResult.FULL:
-                return Full(answer.wait_ms, come_back_ms=round(answer.wait_ms))
+                return NoCapacity(response.wait_ms, retry_after_ms=round(response.wait_ms))
             case _:
-                return Nowhere()
-
-    def _granted(self, answer: PlacementResponse, placer: str, number: int) -> Target | None:
-        standing = self._routing_state.server_states.get(answer.target)
-        if standing is None or not self._routing_state.is_available(standing):
-            # This VM knows something later of the server than the one that chose it.
-            self._end(placer, number, SendStatus.LEFT)
+                return NoTarget()
+
+    def _accept_grant(
+        self, response: PlacementResponse, coordinator: str, number: int
+    ) -> Target | None:
+        server_state = self._routing_state.server_states.get(response.target)
+        if server_state is None or not self._routing_state.is_available(server_state):
+            # This VM's state of the server is newer than the coordinator's.
+            self._report_end(coordinator, number, SendStatus.LEFT)
             return None
-        grant = Grant(
-            asker=self,
-            placer=placer,
+        grant = SlotGrant(
+            client=self,
+            coordinator=coordinator,
             number=number,
-            standing=standing,
-            copy_from=answer.copy_from,
-            wait_ms=answer.wait_ms,
+            server_state=server_state,
+            copy_from=response.copy_from,
+            expected_wait_ms=response.wait_ms,
         )
         self._grants[number] = grant
-        return ToServer(standing, grant)
+        return ServerTarget(server_state, grant)
 
-    def placed(self, word: PlacementResponse) -> None:
-        """Take an answer."""
-        question = self._questions.get(word.number)
-        if question is not None:
-            question.take(word)
+    def handle_response(self, message: PlacementResponse) -> None:
+        """Pass a coordinator's response to the request that waits for it."""
+        pending = self._pending.get(message.number)
+        if pending is not None:
+            pending.set_response(message)
 
-    def tell(self, grant: Grant, ending: SendStatus) -> None:
-        """Tell how a request goes on."""
-        self._say(grant.placer, [(grant.number, ending)])
+    def report_status(self, grant: SlotGrant, status: SendStatus) -> None:
+        """Report the status of a request that goes on."""
+        self._send_update(grant.coordinator, [(grant.number, status)])
 
-    def ended(self, grant: Grant, ending: SendStatus) -> None:
-        """Tell how a request's send ended."""
+    def report_end(self, grant: SlotGrant, status: SendStatus) -> None:
+        """Report how a request's send ended; further calls do nothing."""
         if self._grants.pop(grant.number, None) is not None:
-            self._end(grant.placer, grant.number, ending)
+            self._report_end(grant.coordinator, grant.number, status)
 
-    def granted(self) -> GrantedUsage:
-        """Return what this VM has at servers by places that others gave it."""
+    def granted_usage(self) -> GrantedUsage:
+        """Return this VM's usage of servers in slots that other VMs granted."""
         found: GrantedUsage = {}
         for grant in self._grants.values():
-            figures = found.setdefault(grant.placer, {})
-            server = grant.standing.server.id
-            figures[server] = add_usage(figures.get(server, NO_USAGE), grant.figures)
+            usage = found.setdefault(grant.coordinator, {})
+            server = grant.server_state.server.id
+            usage[server] = add_usage(usage.get(server, NO_USAGE), grant.usage)
         return found
 
-    def _end(self, placer: str, number: int, ending: SendStatus) -> None:
-        """Tell an end, and those before it once more."""
-        ends = self._ends[placer]
-        ends.append((number, ending))
-        self._say(placer, list(ends))
+    def _report_end(self, coordinator: str, number: int, status: SendStatus) -> None:
+        """Report an end, together with the ends before it."""
+        ends = self._recent_ends[coordinator]
+        ends.append((number, status))
+        self._send_update(coordinator, list(ends))
 
-    def _say(self, placer: str, endings: list[tuple[int, SendStatus]]) -> None:
-        self._fleet.send_message(placer, PlacementUpdate(self._fleet.own_vm.name, endings))
+    def _send_update(self, coordinator: str, statuses: list[tuple[int, SendStatus]]) -> None:
+        self._fleet.send_message(coordinator, PlacementUpdate(self._fleet.own_vm.name, statuses))
--- a/src/hickorybeam/gateway/placement_coordinator.py
+++ b/src/hickorybeam/gateway/placement_coordinator.py
@@ -1,4 +1,4 @@
-"""The VM that places for its region: it answers those that ask, and keeps what it gave them."""
+"""Placement coordinator: grants slots at servers to the region's other VMs."""
 
 from __future__ import annotations
 
@@ -6,9 +6,14 @@
 
 import anyio
 
-from hickorybeam.gateway.attempt import AdmittedRequest, ToPeer, ToServer
-from hickorybeam.gateway.placement_messages import SendStatus, PlacementResponse, PlacementResult, PlacementRequest
-from hickorybeam.gateway.target_selector import Full, OpenTargets
+from hickorybeam.gateway.attempt import AdmittedRequest, PeerTarget, ServerTarget
+from hickorybeam.gateway.placement_messages import (
+    PlacementRequest,
+    PlacementResponse,
+    PlacementResult,
+    SendStatus,
+)
+from hickorybeam.gateway.target_selector import NoCapacity, TargetFilter
 from hickorybeam.model.routing import PromptPart, RelayCall, Repeat, Route
 
 if TYPE_CHECKING:
@@ -16,151 +21,174 @@
 
     from hickorybeam.clock import Clock
     from hickorybeam.gateway.attempt import Target
-    from hickorybeam.gateway.in_flight import Burden
     from hickorybeam.gateway.fleet import FleetService
+    from hickorybeam.gateway.in_flight import InFlightRequest
+    from hickorybeam.gateway.local_placement import LocalPlacement
     from hickorybeam.gateway.placement_messages import HeldPlacements, PlacementUpdate
     from hickorybeam.gateway.target_selector import TargetSelector
-    from hickorybeam.gateway.local_placement import LocalPlacement
     from hickorybeam.policy.wait_queue import QueueEntry
 
 __all__ = ("PlacementCoordinator",)
 
-# A place whose end was told in a datagram that was lost comes free this long after the request's
-# deadline, in ms.
-OVERDUE_MS = 500
-# A place that was given less long ago may not be known yet to the VM that holds it, in ms.
-UNDER_WAY_MS = 300
-LOOK_EVERY_MS = 250
+# A slot is freed this long after its request's deadline if the update on its end was lost.
+EXPIRY_MARGIN_MS = 500
+# A VM may not have received a grant yet that is younger than this.
+RESPONSE_TRANSIT_MS = 300
+CLEANUP_INTERVAL_MS = 250
 
-Key = tuple[str, int]
+# Name of the VM that asked, and the number it gave its request.
+PlacementKey = tuple[str, int]
 
 
 class PlacementCoordinator:
-    """Places given to other VMs of the region, by VM and number."""
+    """Responds to placement requests and tracks the granted slots until they are free again."""
 
     def __init__(
-        self, *, clock: Clock, fleet: FleetService, selector: TargetSelector, local_placement: LocalPlacement
+        self,
+        *,
+        clock: Clock,
+        fleet: FleetService,
+        selector: TargetSelector,
+        local_placement: LocalPlacement,
     ) -> None:
         self._clock = clock
         self._fleet = fleet
-        self._placing = selector
-        self._queueing = local_placement
-        self._burdens: dict[Key, tuple[Burden, int]] = {}
-        self._answers: dict[Key, tuple[PlacementResponse, int]] = {}
-        self._waiting: dict[Key, anyio.CancelScope] = {}
+        self._selector = selector
+        self._local_placement = local_placement
+        # With each granted slot: when it expires.
+        self._granted: dict[PlacementKey, tuple[InFlightRequest, int]] = {}
+        # With each final response: until when it is kept, for requests that are resent.
+        self._responses: dict[PlacementKey, tuple[PlacementResponse, int]] = {}
+        self._queued: dict[PlacementKey, anyio.CancelScope] = {}
         self._tasks: TaskGroup | None = None
 
     async def run(self, tasks: TaskGroup) -> None:
-        """Answer from now on, and free what was never said to have ended."""
+        """Queue requests in tasks of a group, and free lost slots, until cancelled."""
         self._tasks = tasks
         while True:
-            await self._clock.sleep(LOOK_EVERY_MS)
-            self._tidy()
+            await self._clock.sleep(CLEANUP_INTERVAL_MS)
+            self._clean_up()
 
-    def handle_request(self, word: PlacementRequest) -> None:
-        """Answer a VM that wants a place for a request."""
-        key = (word.vm, word.number)
-        known = self._answers.get(key)
+    def handle_request(self, message: PlacementRequest) -> None:
+        """Place another VM's request and respond, at once or after a wait in the queue."""
+        key = (message.vm, message.number)
+        known = self._responses.get(key)
         if known is not None:
-            self._fleet.send_message(word.vm, known[0])
+            self._fleet.send_message(message.vm, known[0])
             return
-        if key in self._waiting:
-            self._fleet.send_message(word.vm, PlacementResponse(word.number, PlacementResult.WAITS))
+        if key in self._queued:
+            self._fleet.send_message(
+                message.vm, PlacementResponse(message.number, PlacementResult.WAITS)
+            )
             return
-        errand, targets = errand_of(word, self._clock.now()), self._targets_of(word)
-        found = self._placing.choose(errand, targets)
-        if isinstance(found, Full):
-            place = self._queueing.enter(errand, found)
-            if place is not None and self._tasks is not None:
-                self._waiting[key] = anyio.CancelScope()
-                self._fleet.send_message(word.vm, PlacementResponse(word.number, PlacementResult.WAITS))
-                self._tasks.start_soon(self._wait, key, errand, targets, place)
+        request, targets = request_from(message, self._clock.now()), self._filter_from(message)
+        found = self._selector.choose(request, targets)
+        if isinstance(found, NoCapacity):
+            entry = self._local_placement.enqueue(request, found)
+            if entry is not None and self._tasks is not None:
+                self._queued[key] = anyio.CancelScope()
+                self._fleet.send_message(
+                    message.vm, PlacementResponse(message.number, PlacementResult.WAITS)
+                )
+                self._tasks.start_soon(self._wait, key, request, targets, entry)
                 return
-            found = self._queueing.at_last(errand, targets, found)
-        self._answer(key, errand, found)
-
-    async def _wait(self, key: Key, errand: AdmittedRequest, targets: OpenTargets, place: QueueEntry) -> None:
-        with self._waiting[key] as left:
-            found = await self._queueing.wait(errand, targets, place)
-        del self._waiting[key]
-        if left.cancelled_caught:
+            found = self._local_placement.choose_without_deferral(request, targets, found)
+        self._respond(key, request, found)
+
+    async def _wait(
+        self,
+        key: PlacementKey,
+        request: AdmittedRequest,
+        targets: TargetFilter,
+        entry: QueueEntry,
+    ) -> None:
+        with self._queued[key] as scope:
+            found = await self._local_placement.wait_for_slot(request, targets, entry)
+        del self._queued[key]
+        if scope.cancelled_caught:
             return
-        if isinstance(found, Full):
-            found = self._queueing.at_last(errand, targets, found)
-        self._answer(key, errand, found)
+        if isinstance(found, NoCapacity):
+            found = self._local_placement.choose_without_deferral(request, targets, found)
+        self._respond(key, request, found)
 
-    def _answer(self, key: Key, errand: AdmittedRequest, found: Target | Full | None) -> None:
+    def _respond(
+        self, key: PlacementKey, request: AdmittedRequest, found: Target | NoCapacity | None
+    ) -> None:
         vm, number = key
         match found:
-            case ToServer(standing):
-                burden = self._placing.begin(standing, errand, given=True)
-                self._burdens[key] = (burden, errand.deadline_ms + OVERDUE_MS)
-                answer = PlacementResponse(
-                    number, PlacementResult.SERVER, standing.server.id, burden.copy_from, burden.wait_ms
+            case ServerTarget(server_state):
+                in_flight = self._selector.start(server_state, request, granted=True)
+                self._granted[key] = (in_flight, request.deadline_ms + EXPIRY_MARGIN_MS)
+                response = PlacementResponse(
+                    number,
+                    PlacementResult.SERVER,
+                    server_state.server.id,
+                    in_flight.copy_from,
+                    in_flight.expected_wait_ms,
                 )
-            case ToPeer(peer):
-                answer = PlacementResponse(number, PlacementResult.OTHER_REGION, peer.vm.name)
-            case Full():
-                after_ms = self._queueing.come_back_ms(errand)
-                answer = PlacementResponse(number, PlacementResult.FULL, wait_ms=after_ms)
+            case PeerTarget(peer):
+                response = PlacementResponse(number, PlacementResult.OTHER_REGION, peer.vm.name)
+            case NoCapacity():
+                retry_after_ms = self._local_placement.retry_after_ms(request)
+                response = PlacementResponse(number, PlacementResult.FULL, wait_ms=retry_after_ms)
             case None:
-                answer = PlacementResponse(number, PlacementResult.NOTHING)
-        self._answers[key] = (answer, errand.deadline_ms)
-        self._fleet.send_message(vm, answer)
-
-    def _targets_of(self, word: PlacementRequest) -> OpenTargets:
-        """Return the targets that are open to another VM's request, as seen from there."""
-        peer = self._fleet.peers.by_name.get(word.vm)
-        return OpenTargets(
-            tried=set(word.tried),
-            refused=set(word.refused),
-            again=word.again,
-            here_only=word.here_only,
-            sent_from=peer.vm.data_centre if peer else "",
+                response = PlacementResponse(number, PlacementResult.NOTHING)
+        self._responses[key] = (response, request.deadline_ms)
+        self._fleet.send_message(vm, response)
+
+    def _filter_from(self, message: PlacementRequest) -> TargetFilter:
+        """Return the target filter of another VM's request, as that VM would have it."""
+        peer = self._fleet.peers.by_name.get(message.vm)
+        return TargetFilter(
+            tried=set(message.tried),
+            refused_regions=set(message.refused),
+            retry_tried=message.again,
+            own_region_only=message.here_only,
+            origin_data_centre=peer.vm.data_centre if peer else "",
         )
 
-    def handle_update(self, word: PlacementUpdate) -> None:
-        """Take how requests go on that were given places."""
-        for number, ending in word.endings:
-            key = (word.vm, number)
-            if key in self._waiting:
-                self._waiting[key].cancel()
-            found = self._burdens.get(key)
+    def handle_update(self, message: PlacementUpdate) -> None:
+        """Apply the status of other VMs' requests, in the queue or in granted slots."""
+        for number, status in message.endings:
+            key = (message.vm, number)
+            if key in self._queued:
+                self._queued[key].cancel()
+            found = self._granted.get(key)
             if found is not None:
-                found[0].told(ending)
+                found[0].apply_status(status)
                 if found[0].ended:
-                    del self._burdens[key]
-
-    def handle_held(self, word: HeldPlacements) -> None:
-        """Free the places that a VM no longer holds, whose end was lost on the way."""
-        held = set(word.numbers)
-        known_by_ms = self._clock.now() - UNDER_WAY_MS
-        for key, (burden, _) in tuple(self._burdens.items()):
-            if key[0] == word.vm and key[1] not in held and burden.sent_ms < known_by_ms:
-                burden.end(SendStatus.LEFT)
-                del self._burdens[key]
-
-    def _tidy(self) -> None:
-        """Free places of VMs that are gone, and those whose time is long over."""
+                    del self._granted[key]
+
+    def handle_held(self, message: HeldPlacements) -> None:
+        """Free the slots that a VM no longer holds; the updates on their ends were lost."""
+        held = set(message.numbers)
+        sent_before_ms = self._clock.now() - RESPONSE_TRANSIT_MS
+        for key, (in_flight, _) in tuple(self._granted.items()):
+            if key[0] == message.vm and key[1] not in held and in_flight.sent_ms < sent_before_ms:
+                in_flight.end(SendStatus.LEFT)
+                del self._granted[key]
+
+    def _clean_up(self) -> None:
+        """Free slots that have expired or whose VM is gone, and drop old responses."""
         now = self._clock.now()
-        heard = set(self._fleet.coordinators.serving_vms())
-        for key, (burden, due) in tuple(self._burdens.items()):
-            if due < now or key[0] not in heard:
-                burden.end(SendStatus.LEFT)
-                del self._burdens[key]
-        self._answers = {key: it for key, it in self._answers.items() if it[1] > now}
+        serving = set(self._fleet.coordinators.serving_vms())
+        for key, (in_flight, expires_ms) in tuple(self._granted.items()):
+            if expires_ms < now or key[0] not in serving:
+                in_flight.end(SendStatus.LEFT)
+                del self._granted[key]
+        self._responses = {key: it for key, it in self._responses.items() if it[1] > now}
 
 
-def errand_of(word: PlacementRequest, now_ms: int) -> AdmittedRequest:
-    """Return what decisions need of another VM's request."""
+def request_from(message: PlacementRequest, now_ms: int) -> AdmittedRequest:
+    """Return another VM's request as far as placement needs it."""
     route = Route(
         name="placed",
         host="",
         prefix="/",
         repeat=Repeat.ONCE,
         targets=(),
-        target_ms=word.target_ms,
-        homes=frozenset(word.homes),
+        target_ms=message.target_ms,
+        homes=frozenset(message.homes),
     )
     call = RelayCall(
         request_id="",
@@ -171,18 +199,18 @@
         headers=(),
         body=b"",
         key=None,
-        arrived_ms=now_ms - word.gone_ms,
-        deadline_ms=now_ms + word.left_ms,
-        prompt_tokens=word.prompt_tokens,
-        output_tokens=word.output_tokens,
-        parts=tuple(PromptPart(id_, tokens) for id_, tokens in word.parts),
+        arrived_ms=now_ms - message.gone_ms,
+        deadline_ms=now_ms + message.left_ms,
+        prompt_tokens=message.prompt_tokens,
+        output_tokens=message.output_tokens,
+        parts=tuple(PromptPart(id_, tokens) for id_, tokens in message.parts),
     )
     return AdmittedRequest(
         call=call,
         route=route,
-        service=word.service,
-        account=word.account,
-        urgency=word.urgency,
+        service=message.service,
+        account=message.account,
+        urgency=message.urgency,
         deadline_ms=call.deadline_ms,
         resume_after=None,
     )
--- a/src/hickorybeam/gateway/placement_messages.py
+++ b/src/hickorybeam/gateway/placement_messages.py
@@ -1,4 +1,4 @@
-"""What a VM and the one that places for its region say to each other in datagrams."""
+"""Datagram messages between a VM and the placement coordinator of its region."""
 
 from __future__ import annotations
 
@@ -6,11 +6,21 @@
 
 import msgspec
 
-__all__ = ("SendStatus", "PlacementResponse", "HeldPlacements", "PlacementUpdate", "PlacementResult", "PlacementRequest")
+__all__ = (
+    "HeldPlacements",
+    "PlacementRequest",
+    "PlacementResponse",
+    "PlacementResult",
+    "PlacementUpdate",
+    "SendStatus",
+)
 
 
 class PlacementResult(Enum):
-    """What became of a request that wanted a place."""
+    """Result of a placement request.
+
+    ``WAITS``: the request is queued at the coordinator, and a further response follows.
+    """
 
     SERVER = "server"
     OTHER_REGION = "other region"
@@ -20,7 +30,10 @@
 
 
 class SendStatus(Enum):
-    """How far a placed request has come, or how its send ended."""
+    """How far a placed request has come, or how its send ended.
+
+    ``READ``: its prompt is prefilled. ``LEFT``: it ended without an outcome at the server.
+    """
 
     READ = "read"
     ANSWERED = "answered"
@@ -30,11 +43,12 @@
 
 
 class PlacementRequest(msgspec.Struct, frozen=True, array_like=True, tag="wanted"):
-    """A request that wants a place; said again with the same number until it is answered.
+    """Asks for the placement of a request; resent with the same number until a response comes.
 
-    ``gone_ms`` of its objective have passed, ``left_ms`` are left until its deadline. ``tried``
-    names targets that it was sent to, ``refused`` regions that refused it. ``parts`` are
-    those of its prompt, by id and tokens.
+    ``gone_ms`` is the time since the request arrived, ``left_ms`` the time left until its
+    deadline. ``parts`` are those of its prompt, by id and tokens. ``tried`` names targets that it
+    was sent to, ``refused`` regions that refused it. ``again``: one of ``tried`` may be tried
+    again if there is no other. ``here_only``: it may run in this region only.
     """
 
     vm: str
@@ -56,10 +70,10 @@
 
 
 class PlacementResponse(msgspec.Struct, frozen=True, array_like=True, tag="placed"):
-    """The answer. ``target`` is a server's id or the name of another region's VM.
+    """Response to a placement request.
 
-    ``wait_ms`` is the wait that was foreseen there; where there is no room, when the caller
-    should come back.
+    ``target`` is a server's id or the name of another region's VM. ``wait_ms`` is the expected
+    wait at the target; if there is no capacity, the retry-after for the caller.
     """
 
     number: int
@@ -70,14 +84,14 @@
 
 
 class PlacementUpdate(msgspec.Struct, frozen=True, array_like=True, tag="told"):
-    """How requests that were placed go on, by number."""
+    """Reports the status of placed requests, by number."""
 
     vm: str
     endings: list[tuple[int, SendStatus]]
 
 
 class HeldPlacements(msgspec.Struct, frozen=True, array_like=True, tag="still"):
-    """All places that a VM still holds or asks for, by number."""
+    """Lists the numbers of all requests for which a VM holds a slot grant or asks for one."""
 
     vm: str
     numbers: list[int]
--- a/src/hickorybeam/gateway/progress.py
+++ b/src/hickorybeam/gateway/progress.py
@@ -1,11 +1,11 @@
-"""What has happened to one request so far, and how its targets are named."""
+"""Record what has happened to one request so far."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from hickorybeam.gateway.attempt import ToPeer, ToServer
+from hickorybeam.gateway.attempt import PeerTarget, ServerTarget
 from hickorybeam.gateway.event_splitter import EventSplitter
 
 if TYPE_CHECKING:
@@ -13,19 +13,19 @@
     from hickorybeam.http1 import ResponseHead, ResponseWriter
     from hickorybeam.platform import ResponseInfo
 
-__all__ = ("Pace", "Progress", "name_of")
+__all__ = ("RequestProgress", "ResponseTiming", "target_name")
 
 
 @dataclass(slots=True)
-class Pace:
-    """When the parts of an answer came, in ms on this VM's clock."""
+class ResponseTiming:
+    """When the chunks of a response came, on this VM's clock."""
 
     first_ms: int | None = None
     last_ms: int = 0
     longest_gap_ms: int = 0
 
-    def came(self, now_ms: int) -> None:
-        """Take note of some bytes of the answer."""
+    def record_chunk(self, now_ms: int) -> None:
+        """Record that bytes of the response came."""
         if self.first_ms is None:
             self.first_ms = now_ms
         else:
@@ -34,57 +34,60 @@
 
 
 @dataclass(slots=True)
-class Progress:
+class RequestProgress:
     """What has happened to one request so far.
 
-    ``runs`` counts sends that may have run; ``flying`` one whose outcome is still open.
-    ``rejected``: a server got it and said that it did not run it.
-    ``failed`` is a server's own failing answer, kept in case that no better one comes.
-    ``refused`` names regions whose VM said that it did not run it.
-    ``room_in_ms`` is when the first of them expects to have room.
-    ``onward`` is where it goes next, chosen when it was decided to leave a silent server.
-    ``here_only``: it came from another VM, so it is run in this region or not at all.
-    ``waited_ms`` is the time in line, ``foreseen_ms`` the wait that the last target promised.
+    ``sends`` counts attempts, ``runs`` those that may have run, and ``outcome_open`` is set while
+    the outcome of one is unknown.
+    ``rejected``: a server received the request and stated that it did not run it.
+    ``tried`` holds the names of targets, ``refused_regions`` those of regions whose VM stated that
+    it did not run the request.
+    ``retry_after_ms`` is the shortest retry-after that such a VM gave.
+    ``failed_response`` is a server's own failing response, kept in case that no better one comes.
+    ``next_target`` is where the request goes next, chosen when it failed over from a silent target.
+    ``own_region_only``: another VM forwarded it, so it is run in this region or not at all.
+    ``placement_ms`` is the time spent on placement, most of it in the queue.
+    ``expected_wait_ms`` is the wait that was expected at the last target.
     """
 
-    reply: ResponseWriter
+    response: ResponseWriter
     sends: int = 0
     runs: int = 0
-    flying: bool = False
+    outcome_open: bool = False
     rejected: bool = False
     tried: set[str] = field(default_factory=set)
-    refused: set[str] = field(default_factory=set)
-    failed: tuple[ResponseHead, ResponseInfo, bytes] | None = None
+    refused_regions: set[str] = field(default_factory=set)
+    failed_response: tuple[ResponseHead, ResponseInfo, bytes] | None = None
     splitter: EventSplitter = field(default_factory=EventSplitter)
-    room_in_ms: int | None = None
-    why: str = ""
-    onward: Target | None = None
-    here_only: bool = False
-    waited_ms: int = 0
-    foreseen_ms: float = 0.0
-    pace: Pace = field(default_factory=Pace)
-
-    def refused_by(self, region: str, room_in_ms: int | None) -> None:
-        """Take note that a region did not run it, and when it expects to have room."""
-        self.refused.add(region)
-        if room_in_ms is not None:
-            self.room_in_ms = min(room_in_ms, self.room_in_ms or room_in_ms)
+    retry_after_ms: int | None = None
+    reason: str = ""
+    next_target: Target | None = None
+    own_region_only: bool = False
+    placement_ms: int = 0
+    expected_wait_ms: float = 0.0
+    timing: ResponseTiming = field(default_factory=ResponseTiming)
+
+    def record_refusal(self, region: str, retry_after_ms: int | None) -> None:
+        """Record that a region did not run the request, and its retry-after if it gave one."""
+        self.refused_regions.add(region)
+        if retry_after_ms is not None:
+            self.retry_after_ms = min(retry_after_ms, self.retry_after_ms or retry_after_ms)
 
     @property
-    def ran(self) -> bool:
-        """Whether it has run or may have."""
-        return self.runs > 0 or self.flying
+    def may_have_run(self) -> bool:
+        """Whether the request has run or may have."""
+        return self.runs > 0 or self.outcome_open
 
     @property
-    def arrived(self) -> bool:
-        """Whether a server has got it, or may have."""
-        return self.rejected or self.ran
+    def may_have_arrived(self) -> bool:
+        """Whether a server has received the request or may have."""
+        return self.rejected or self.may_have_run
 
 
-def name_of(target: Target) -> str:
-    """Return the name of a target, for logs and to know it again."""
+def target_name(target: Target) -> str:
+    """Return the server's id or the VM's name, for logs and to recognise a target tried before."""
     match target:
-        case ToServer(standing):
-            return standing.server.id
-        case ToPeer(peer):
+        case ServerTarget(server_state):
+            return server_state.server.id
+        case PeerTarget(peer):
             return peer.vm.name
--- a/src/hickorybeam/gateway/relay.py
+++ b/src/hickorybeam/gateway/relay.py
@@ -202,7 +202,7 @@
         if request is None:
             reply.send(404)
             return
-        await self._handler.handle_admitted(request, reply, local_only=True)
+        await self._handler.handle_admitted(request, reply, own_region_only=True)
 
     def _serve_changes(self, req: IncomingRequest, reply: ResponseWriter) -> None:
         """Send the changes after a revision to a VM that doesn't watch the store."""
--- a/src/hickorybeam/gateway/request_handler.py
+++ b/src/hickorybeam/gateway/request_handler.py
@@ -1,4 +1,4 @@
-"""The path of a request: admitted, placed, sent, sent again where that is right, answered."""
+"""Handle requests: admit, place and send them, retry where that is safe, and respond."""
 
 from __future__ import annotations
 
@@ -9,16 +9,21 @@
 from hickorybeam.clock import MS_PER_SECOND
 from hickorybeam.errors import ErrorKind, GatewayError
 from hickorybeam.gateway.admission import Admission
-from hickorybeam.gateway.attempt import ToPeer, ToServer
-from hickorybeam.gateway.final_responses import Endings
+from hickorybeam.gateway.attempt import PeerTarget, ServerTarget
+from hickorybeam.gateway.final_responses import FinalResponses
+from hickorybeam.gateway.local_placement import LocalPlacement
+from hickorybeam.gateway.placement_client import PlacementClient
 from hickorybeam.gateway.placement_coordinator import PlacementCoordinator
+from hickorybeam.gateway.placement_messages import (
+    HeldPlacements,
+    PlacementRequest,
+    PlacementResponse,
+    PlacementUpdate,
+)
+from hickorybeam.gateway.progress import RequestProgress, target_name
+from hickorybeam.gateway.sender import Sender
 from hickorybeam.gateway.service_queue import ServiceQueues
-from hickorybeam.gateway.placement_client import PlaceAsker
-from hickorybeam.gateway.placement_messages import PlacementResponse, HeldPlacements, PlacementUpdate, PlacementRequest
-from hickorybeam.gateway.target_selector import Full, Nowhere, OpenTargets, TargetSelector
-from hickorybeam.gateway.progress import Progress, name_of
-from hickorybeam.gateway.local_placement import LocalPlacement
-from hickorybeam.gateway.sender import Sending
+from hickorybeam.gateway.target_selector import NoCapacity, NoTarget, TargetFilter, TargetSelector
 from hickorybeam.model.routing import Repeat
 from hickorybeam.platform import decode_call
 from hickorybeam.policy.fleet_retry_budget import FleetRetryBudget, FleetRetryLimits
@@ -37,16 +42,16 @@
 
 __all__ = ("RequestHandler", "shutdown_times")
 
-# Sends of one request, those included that were surely not run.
-MOST_SENDS = 4
-# A VM that has just started reads the configuration within this time, in ms: two ways to a store
-# in another region and a start of its own. Until then its callers wait here; refused, they would
-# come back after as long and have no further try. One that still knows none refuses at once.
-STARTING_MS = 1_000
+# Sends of one request, including those that were certainly not run.
+MAX_SENDS = 4
+# A VM that has just started reads the configuration within this time: two round trips to a store in
+# another region and its own start. Until then callers wait; if they were refused, they would retry
+# after as long and have no further attempt. After that, a VM without configuration refuses at once.
+MAX_CONFIG_WAIT_MS = 1_000
 
 
 class RequestHandler:
-    """Answers requests of callers, and those that other regions' VMs hand over."""
+    """Handles callers' requests, and those that other regions' VMs forward."""
 
     def __init__(
         self,
@@ -66,200 +71,223 @@
         self._routing_state = feed.routing_state
         self._started_ms = clock.now()
         self._fleet = fleet
-        self._budgets: dict[str, FleetRetryBudget] = {}
-        self._lines = ServiceQueues(clock)
-        self._admission = Admission(clock=clock, routing_state=feed.routing_state, quota=fleet.quota)
-        self._placing = TargetSelector(
+        self._retry_budgets: dict[str, FleetRetryBudget] = {}
+        self._queues = ServiceQueues(clock)
+        self._admission = Admission(
+            clock=clock, routing_state=feed.routing_state, quota=fleet.quota
+        )
+        self._selector = TargetSelector(
             shutdown=shutdown_times(cfg),
             clock=clock,
             routing_state=feed.routing_state,
             fleet=fleet,
-            queues=self._lines,
+            queues=self._queues,
+        )
+        self._final_responses = FinalResponses(
+            clock=clock, counters=counters, feed=feed, selector=self._selector, log=log
         )
-        self._endings = Endings(
-            clock=clock, counters=counters, feed=feed, placing=self._placing, log=log
+        self._local_placement = LocalPlacement(
+            clock=clock, queues=self._queues, selector=self._selector
         )
-        self._queueing = LocalPlacement(clock=clock, queues=self._lines, selector=self._placing)
-        self._asker = PlaceAsker(
+        self._placement_client = PlacementClient(
             clock=clock, counters=counters, fleet=fleet, routing_state=feed.routing_state
         )
-        self._grants = PlacementCoordinator(
-            clock=clock, fleet=fleet, selector=self._placing, local_placement=self._queueing
+        self._placement_coordinator = PlacementCoordinator(
+            clock=clock, fleet=fleet, selector=self._selector, local_placement=self._local_placement
         )
-        self._sending = Sending(
+        self._sender = Sender(
             clock=clock,
             counters=counters,
             routing_state=feed.routing_state,
-            placing=self._placing,
+            selector=self._selector,
             pool=pool,
-            endings=self._endings,
+            final_responses=self._final_responses,
         )
 
     async def run_placement(self) -> None:
-        """Give places to other VMs, and take those that they give, until cancelled."""
-        self._fleet.on_message(PlacementRequest, self._grants.handle_request)
-        self._fleet.on_message(PlacementUpdate, self._grants.handle_update)
-        self._fleet.on_message(HeldPlacements, self._grants.handle_held)
-        self._fleet.on_message(PlacementResponse, self._asker.placed)
-        self._fleet.granted_usage = self._asker.granted
+        """Coordinate placement for other VMs, and use their slot grants, until cancelled."""
+        self._fleet.on_message(PlacementRequest, self._placement_coordinator.handle_request)
+        self._fleet.on_message(PlacementUpdate, self._placement_coordinator.handle_update)
+        self._fleet.on_message(HeldPlacements, self._placement_coordinator.handle_held)
+        self._fleet.on_message(PlacementResponse, self._placement_client.handle_response)
+        self._fleet.granted_usage = self._placement_client.granted_usage
         async with anyio.create_task_group() as tg:
-            tg.start_soon(self._asker.run)
-            await self._grants.run(tg)
+            tg.start_soon(self._placement_client.run)
+            await self._placement_coordinator.run(tg)
 
-    async def handle(self, req: IncomingRequest, reply: ResponseWriter) -> None:
-        """Answer one request of a caller."""
+    async def handle(self, req: IncomingRequest, response: ResponseWriter) -> None:
+        """Admit and handle one request of a caller."""
         call = decode_call(req)
         if self._routing_state.config is None:
-            await self._feed.wait_for_config(self._started_ms + STARTING_MS - self._clock.now())
+            await self._feed.wait_for_config(
+                self._started_ms + MAX_CONFIG_WAIT_MS - self._clock.now()
+            )
         try:
-            errand = self._admission.admit(call)
+            request = self._admission.admit(call)
         except GatewayError as exc:
-            self._endings.refuse(call, reply, exc)
+            self._final_responses.refuse(call, response, exc)
             return
-        self._budget(errand.service).record_request(self._clock.now(), self._fleet.known_vm_count())
-        await self.handle_admitted(errand, reply)
+        self._budget(request.service).record_request(
+            self._clock.now(), self._fleet.known_vm_count()
+        )
+        await self.handle_admitted(request, response)
 
-    async def handle_admitted(self, errand: AdmittedRequest, reply: ResponseWriter, *, local_only: bool = False) -> None:
-        """Run an admitted request within its deadline, until its caller leaves.
+    async def handle_admitted(
+        self, request: AdmittedRequest, response: ResponseWriter, *, own_region_only: bool = False
+    ) -> None:
+        """Handle an admitted request until its deadline, or until its caller disconnects.
 
-        :param local_only: it came from another VM: one run, by a server of this region.
+        :param own_region_only: another VM forwarded it: it is run at most once, by a server of this
+            region.
         """
-        progress = Progress(reply, here_only=local_only)
-        left_ms = errand.deadline_ms - self._clock.now()
+        progress = RequestProgress(response, own_region_only=own_region_only)
+        left_ms = request.deadline_ms - self._clock.now()
         with anyio.CancelScope() as scope:
-            reply.on_disconnect(scope.cancel)
+            response.on_disconnect(scope.cancel)
             with anyio.move_on_after(max(0, left_ms) / MS_PER_SECOND) as limit:
-                await self._attempts(errand, progress)
-            if limit.cancelled_caught and not reply.done:
-                progress.why = "deadline"
-                self._endings.give_up(errand, progress)
-        reply.on_disconnect(None)
-        if not progress.ran and errand.account is not None and not local_only:
-            self._fleet.quota.refund(errand.account, errand.cost, self._clock.now())
+                await self._run_attempts(request, progress)
+            if limit.cancelled_caught and not response.done:
+                progress.reason = "deadline"
+                self._final_responses.give_up(request, progress)
+        response.on_disconnect(None)
+        if not progress.may_have_run and request.account is not None and not own_region_only:
+            self._fleet.quota.refund(request.account, request.cost, self._clock.now())
         if scope.cancelled_caught:
-            self._counters.requests.labels(errand.route.name, "left").inc()
+            self._counters.requests.labels(request.route.name, "left").inc()
 
-    async def _attempts(self, errand: AdmittedRequest, progress: Progress) -> None:
-        while (target := await self._next(errand, progress)) is not None:
+    async def _run_attempts(self, request: AdmittedRequest, progress: RequestProgress) -> None:
+        """Send a request to one target after the other until it has a final response."""
+        while (target := await self._next_target(request, progress)) is not None:
             progress.sends += 1
-            progress.tried.add(name_of(target))
-            await self._sending.send(
-                target, errand, progress, leave=lambda: self._leaves(target, errand, progress)
+            progress.tried.add(target_name(target))
+            await self._sender.send(
+                target,
+                request,
+                progress,
+                should_fail_over=lambda: self._fail_over(target, request, progress),
             )
-            if progress.reply.done:
+            if progress.response.done:
                 return
-            if progress.runs and (progress.here_only or not errand.route.repeatable):
-                self._endings.give_up(errand, progress)
+            if progress.runs and (progress.own_region_only or not request.route.repeatable):
+                self._final_responses.give_up(request, progress)
                 return
 
-    async def _next(self, errand: AdmittedRequest, progress: Progress) -> Target | None:
-        """Return where to send it now; with ``None`` it has got its final answer."""
-        if progress.onward is not None:
-            target, progress.onward = progress.onward, None
+    async def _next_target(
+        self, request: AdmittedRequest, progress: RequestProgress
+    ) -> Target | None:
+        """Return where to send a request now; ``None`` if it got its final response."""
+        if progress.next_target is not None:
+            target, progress.next_target = progress.next_target, None
             return target
-        found = await self._placed(errand, progress)
-        if isinstance(found, Full):
-            self._overloaded(errand, progress, found)
+        found = await self._place(request, progress)
+        if isinstance(found, NoCapacity):
+            self._refuse_overloaded(request, progress, found)
             return None
-        if found is None or not self._may_send(errand, progress):
-            self._endings.give_up(errand, progress)
+        if found is None or not self._may_send(request, progress):
+            self._final_responses.give_up(request, progress)
             return None
         return found
 
-    async def _placed(self, errand: AdmittedRequest, progress: Progress) -> Target | Full | None:
-        """Return where it goes, as the VM says that places for the region, or as this one does."""
-        began = self._clock.now()
-        targets = self._open(errand, progress)
+    async def _place(
+        self, request: AdmittedRequest, progress: RequestProgress
+    ) -> Target | NoCapacity | None:
+        """Return a request's target, placed by the coordinator or by this VM itself."""
+        started_ms = self._clock.now()
+        targets = self._target_filter(request, progress)
         try:
-            if self._asker.applies(errand):
-                found = await self._asker.place(errand, targets)
-                if isinstance(found, Nowhere):
+            if self._placement_client.is_remote(request):
+                found = await self._placement_client.place(request, targets)
+                if isinstance(found, NoTarget):
                     return None
                 if found is not None:
                     return found
-            return await self._queueing.place(errand, targets)
+            return await self._local_placement.place(request, targets)
         finally:
-            progress.waited_ms += self._clock.now() - began
+            progress.placement_ms += self._clock.now() - started_ms
 
-    def _leaves(self, target: Target, errand: AdmittedRequest, progress: Progress) -> bool:
-        """Whether a request leaves a target that has been silent for long.
+    def _fail_over(
+        self, target: Target, request: AdmittedRequest, progress: RequestProgress
+    ) -> bool:
+        """Return whether a request fails over from a silent target, and set its next target.
 
-        Only where a server of this region has room for it now and the budget allows it. With
-        nowhere to go, it would be answered as failed while its server still reads its prompt
-        behind others; so it would where another region is asked and refuses. One VM leaves for
-        another only if the silent one is heard no more.
+        It does so only if a server of this region has a free slot now and the retry budget allows
+        it. Without another target it would fail while its server may still prefill its prompt
+        behind others, and so it would if another region were asked and refused it. It goes to a
+        VM of another region only from a VM that is not live any more.
         """
-        onward = self._placing.choose(errand, self._open(errand, progress))
-        if onward is None or isinstance(onward, Full):
+        next_target = self._selector.choose(request, self._target_filter(request, progress))
+        if next_target is None or isinstance(next_target, NoCapacity):
             return False
-        if isinstance(onward, ToPeer) and not self._is_gone(target):
+        if isinstance(next_target, PeerTarget) and not self._is_dead_peer(target):
             return False
-        if not self._may_send(errand, progress):
+        if not self._may_send(request, progress):
             return False
-        progress.onward = onward
+        progress.next_target = next_target
         return True
 
-    def _is_gone(self, target: Target) -> bool:
+    def _is_dead_peer(self, target: Target) -> bool:
         match target:
-            case ToPeer(peer):
+            case PeerTarget(peer):
                 return not self._fleet.peers.is_live(peer)
-            case ToServer():
+            case ServerTarget():
                 return False
 
-    def _may_send(self, errand: AdmittedRequest, progress: Progress) -> bool:
+    def _may_send(self, request: AdmittedRequest, progress: RequestProgress) -> bool:
         if progress.sends == 0:
             return True
-        if progress.sends >= MOST_SENDS or progress.runs >= errand.route.max_attempts:
+        if progress.sends >= MAX_SENDS or progress.runs >= request.route.max_attempts:
             return False
-        if not progress.arrived:
-            # No server has got it yet, so this is no repeat of anything: charged for, full
-            # regions that refused at once used up the budget for servers that failed.
+        if not progress.may_have_arrived:
+            # No server received it, so this is no retry. If it were charged, full regions that
+            # refuse at once would use up the budget meant for servers that fail.
             return True
-        if not self._budget(errand.service).take(self._clock.now(), self._fleet.known_vm_count()):
-            progress.why += ", no budget to repeat"
+        if not self._budget(request.service).take(self._clock.now(), self._fleet.known_vm_count()):
+            progress.reason += ", no retry budget left"
             return False
         self._counters.retries.labels("repeat").inc()
         return True
 
-    def _open(self, errand: AdmittedRequest, progress: Progress) -> OpenTargets:
-        repeatable = errand.route.repeat is Repeat.IDEMPOTENT
-        return OpenTargets(
+    def _target_filter(self, request: AdmittedRequest, progress: RequestProgress) -> TargetFilter:
+        retryable = request.route.repeat is Repeat.IDEMPOTENT
+        return TargetFilter(
             tried=progress.tried,
-            refused=progress.refused,
-            again=repeatable and progress.failed is not None,
-            here_only=progress.here_only,
+            refused_regions=progress.refused_regions,
+            retry_tried=retryable and progress.failed_response is not None,
+            own_region_only=progress.own_region_only,
         )
 
-    def _overloaded(self, errand: AdmittedRequest, progress: Progress, found: Full) -> None:
-        """Refuse a request for which there is no room in time, and say when there will be."""
-        if progress.runs or progress.reply.started:
-            self._endings.give_up(errand, progress)
+    def _refuse_overloaded(
+        self, request: AdmittedRequest, progress: RequestProgress, found: NoCapacity
+    ) -> None:
+        """Refuse a request that gets no slot in time, with a retry-after."""
+        if progress.runs or progress.response.started:
+            self._final_responses.give_up(request, progress)
             return
-        after_ms = found.come_back_ms
-        if after_ms is None:
-            after_ms = self._queueing.come_back_ms(errand)
-        exc = GatewayError(ErrorKind.OVERLOADED, retry_after_ms=after_ms)
-        self._endings.refuse(errand.call, progress.reply, exc, progress)
+        retry_after_ms = found.retry_after_ms
+        if retry_after_ms is None:
+            retry_after_ms = self._local_placement.retry_after_ms(request)
+        exc = GatewayError(ErrorKind.OVERLOADED, retry_after_ms=retry_after_ms)
+        self._final_responses.refuse(request.call, progress.response, exc, progress)
 
     def _budget(self, service: str) -> FleetRetryBudget:
-        budget = self._budgets.get(service)
+        budget = self._retry_budgets.get(service)
         if budget is None:
-            budget = self._budgets[service] = FleetRetryBudget(bounds_of(self._cfg))
+            budget = self._retry_budgets[service] = FleetRetryBudget(retry_limits_of(self._cfg))
         return budget
 
     def forecasts(self) -> dict[str, WaitForecast]:
-        """Return what other regions are told of this one, by service that has servers."""
-        return self._placing.forecasts()
+        """Return the wait forecasts for other regions, by service that has usable servers."""
+        return self._selector.forecasts()
 
     def reload(self, cfg: GatewaySettings) -> None:
-        """Take over other bounds on repeats, and other times of a shutdown."""
+        """Apply new retry limits and a new shutdown grace period."""
         self._cfg = cfg
-        self._placing.shutdown = shutdown_times(cfg)
-        for budget in self._budgets.values():
-            budget.reconfigure(bounds_of(cfg))
+        self._selector.shutdown = shutdown_times(cfg)
+        for budget in self._retry_budgets.values():
+            budget.reconfigure(retry_limits_of(cfg))
 
     def accept_until(self, ends_ms: int) -> None:
-        """Take only requests whose deadline lies before the end of this process."""
+        """Admit only requests whose deadline lies before the end of this process."""
         self._admission.ends_ms = ends_ms
 
     def drain(self) -> None:
@@ -268,12 +296,12 @@
 
 
 def shutdown_times(cfg: GatewaySettings) -> ShutdownSchedule:
-    """Return the times of a shutdown that the settings give."""
+    """Return the schedule of a shutdown from the settings."""
     return ShutdownSchedule(cfg.grace_s * MS_PER_SECOND)
 
 
-def bounds_of(cfg: GatewaySettings) -> FleetRetryLimits:
-    """Return the bounds on repeats that the settings give."""
+def retry_limits_of(cfg: GatewaySettings) -> FleetRetryLimits:
+    """Return the fleet's retry limits from the settings."""
     return FleetRetryLimits(
         ratio=cfg.repeat_ratio,
         allowance=cfg.repeat_allowance,
--- a/src/hickorybeam/gateway/sender.py
+++ b/src/hickorybeam/gateway/sender.py
@@ -1,11 +1,17 @@
-"""One send of a request: opened, its answer taken, its server's record kept."""
+"""Make one attempt at a request: send it, pass its response on, and record how it went."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
 from hickorybeam.clock import MS_PER_SECOND
-from hickorybeam.gateway.attempt import Attempt, NotSentError, SilentError, ToPeer, ToServer
+from hickorybeam.gateway.attempt import (
+    Attempt,
+    FirstByteTimeoutError,
+    NotRunError,
+    PeerTarget,
+    ServerTarget,
+)
 from hickorybeam.gateway.placement_messages import SendStatus
 from hickorybeam.http1 import BrokenResponseError
 from hickorybeam.platform import response_headers
@@ -16,23 +22,23 @@
 
     from hickorybeam.clock import Clock
     from hickorybeam.gateway.attempt import AdmittedRequest, Target
-    from hickorybeam.gateway.in_flight import Burden
-    from hickorybeam.gateway.final_responses import Endings
+    from hickorybeam.gateway.final_responses import FinalResponses
+    from hickorybeam.gateway.in_flight import InFlightRequest
+    from hickorybeam.gateway.progress import RequestProgress
     from hickorybeam.gateway.routing_state import RoutingState
     from hickorybeam.gateway.target_selector import TargetSelector
-    from hickorybeam.gateway.progress import Progress
     from hickorybeam.http1 import ResponseHead, UpstreamPool
     from hickorybeam.platform import ResponseInfo
     from hickorybeam.policy.server_choice import ServerState
     from hickorybeam.telemetry import Counters
 
-__all__ = ("Sending",)
+__all__ = ("Sender",)
 
-OK, FIRST_ERROR, SERVER_ERROR = 200, 300, 500
+OK_STATUS, FIRST_NON_SUCCESS_STATUS, FIRST_SERVER_ERROR_STATUS = 200, 300, 500
 
 
-class Sending:
-    """Sends requests to servers and to other VMs, and takes note of how it went."""
+class Sender:
+    """Sends requests to backend servers and to other VMs, and records how it went."""
 
     def __init__(
         self,
@@ -40,169 +46,193 @@
         clock: Clock,
         counters: Counters,
         routing_state: RoutingState,
-        placing: TargetSelector,
+        selector: TargetSelector,
         pool: UpstreamPool,
-        endings: Endings,
+        final_responses: FinalResponses,
     ) -> None:
         self._clock = clock
         self._routing_state = routing_state
-        self._placing = placing
+        self._selector = selector
         self._pool = pool
-        self._endings = endings
+        self._final_responses = final_responses
         self._first_byte = counters.histogram("first_byte", "Time to the first byte", ("route",))
 
     async def send(
-        self, target: Target, errand: AdmittedRequest, progress: Progress, *, leave: Callable[[], bool]
+        self,
+        target: Target,
+        request: AdmittedRequest,
+        progress: RequestProgress,
+        *,
+        should_fail_over: Callable[[], bool],
     ) -> None:
-        """Send once and take note of how it went; a good answer is passed on.
+        """Send a request once, record the outcome, and pass a good response on to the caller.
 
-        :param leave: whether to go elsewhere, asked when a server has been silent for long.
+        :param should_fail_over: called after the first-byte timeout; returns whether the request
+            should go elsewhere.
         """
-        standing = target.standing if isinstance(target, ToServer) else None
-        burden = self._burden(target, errand)
-        progress.foreseen_ms = burden.wait_ms if burden else 0.0
-        patience_ms = self._first_byte_ms(errand, progress)
-        copy_from = burden.copy_from if burden else None
-        attempt = Attempt(self._pool, target, errand, copy_from=copy_from)
-        progress.flying = True
-        ending = SendStatus.LEFT
+        server_state = target.server_state if isinstance(target, ServerTarget) else None
+        in_flight = self._start_in_flight(target, request)
+        progress.expected_wait_ms = in_flight.expected_wait_ms if in_flight else 0.0
+        timeout_ms = self._first_byte_timeout_ms(request, progress)
+        copy_from = in_flight.copy_from if in_flight else None
+        attempt = Attempt(self._pool, target, request, copy_from=copy_from)
+        progress.outcome_open = True
+        status = SendStatus.LEFT
         try:
-            head, facts = await attempt.open(
-                self._clock.now(), patience_ms=patience_ms, leave=leave
+            head, info = await attempt.open(
+                self._clock.now(),
+                first_byte_timeout_ms=timeout_ms,
+                should_fail_over=should_fail_over,
             )
-            self._observe_first_byte(errand)
-            if burden is not None:
-                burden.has_read()
-            if standing is not None:
-                self._take_facts(standing, facts)
-            await self._take_answer(attempt, head, facts, errand, progress, standing)
-            ending = SendStatus.FAILED if progress.failed else SendStatus.ANSWERED
-            progress.flying = False
-            if progress.reply.done:
-                self._endings.answered(errand, target, progress)
-        except NotSentError as exc:
-            progress.flying = False
+            self._observe_first_byte(request)
+            if in_flight is not None:
+                in_flight.record_prefill()
+            if server_state is not None:
+                self._record_response_info(server_state, info)
+            await self._handle_response(attempt, head, info, request, progress, server_state)
+            status = SendStatus.FAILED if progress.failed_response else SendStatus.ANSWERED
+            progress.outcome_open = False
+            if progress.response.done:
+                self._final_responses.record_success(request, target, progress)
+        except NotRunError as exc:
+            progress.outcome_open = False
             progress.rejected |= exc.rejected
-            progress.why = str(exc)
+            progress.reason = str(exc)
             match target:
                 case _ if exc.unreachable:
-                    ending = SendStatus.UNREACHABLE
-                    self._unreachable(target, attempt)
-                case ToPeer(peer):
-                    progress.refused_by(peer.vm.region, exc.come_back_ms)
-            self._endings.note("not_sent", errand, target, why=progress.why)
+                    status = SendStatus.UNREACHABLE
+                    self._record_unreachable(target, attempt)
+                case PeerTarget(peer):
+                    progress.record_refusal(peer.vm.region, exc.retry_after_ms)
+            self._final_responses.log_decision("not_sent", request, target, why=progress.reason)
         except BrokenResponseError as exc:
-            progress.flying = False
+            progress.outcome_open = False
             progress.runs += 1
-            progress.why = str(exc)
-            ending = self._broke(exc, target, attempt)
-            self._endings.note("broken", errand, target, why=progress.why)
+            progress.reason = str(exc)
+            status = self._record_broken(exc, target, attempt)
+            self._final_responses.log_decision("broken", request, target, why=progress.reason)
         finally:
-            if burden is not None:
-                burden.end(ending)
+            if in_flight is not None:
+                in_flight.end(status)
             attempt.close()
 
-    def _burden(self, target: Target, errand: AdmittedRequest) -> Burden | None:
-        """Count a request at the server that it is sent to."""
-        if not isinstance(target, ToServer):
+    def _start_in_flight(self, target: Target, request: AdmittedRequest) -> InFlightRequest | None:
+        """Count a request at the server that it is sent to; ``None`` if it goes to a VM."""
+        if not isinstance(target, ServerTarget):
             return None
-        return self._placing.begin(target.standing, errand, grant=target.grant)
+        return self._selector.start(target.server_state, request, grant=target.grant)
 
-    def _broke(self, exc: BrokenResponseError, target: Target, attempt: Attempt) -> SendStatus:
+    def _record_broken(
+        self, exc: BrokenResponseError, target: Target, attempt: Attempt
+    ) -> SendStatus:
         match exc, target:
-            case SilentError(), _:
-                self._unreachable(target, attempt)
+            case FirstByteTimeoutError(), _:
+                self._record_unreachable(target, attempt)
                 return SendStatus.UNREACHABLE
-            case _, ToServer(standing):
-                standing.record_failure()
+            case _, ServerTarget(server_state):
+                server_state.record_failure()
         return SendStatus.FAILED
 
-    def _observe_first_byte(self, errand: AdmittedRequest) -> None:
-        took_ms = self._clock.now() - errand.call.arrived_ms
-        self._first_byte.labels(errand.route.name).observe(took_ms / MS_PER_SECOND)
+    def _observe_first_byte(self, request: AdmittedRequest) -> None:
+        took_ms = self._clock.now() - request.call.arrived_ms
+        self._first_byte.labels(request.route.name).observe(took_ms / MS_PER_SECOND)
 
-    def _first_byte_ms(self, errand: AdmittedRequest, progress: Progress) -> float | None:
-        runs_left = errand.route.max_attempts - progress.runs - 1
-        return first_byte_timeout_ms(errand.route, attempts_left=runs_left, expected_ms=progress.foreseen_ms)
+    def _first_byte_timeout_ms(
+        self, request: AdmittedRequest, progress: RequestProgress
+    ) -> float | None:
+        attempts_left = request.route.max_attempts - progress.runs - 1
+        return first_byte_timeout_ms(
+            request.route, attempts_left=attempts_left, expected_ms=progress.expected_wait_ms
+        )
 
-    def _take_facts(self, standing: ServerState, facts: ResponseInfo) -> None:
+    def _record_response_info(self, server_state: ServerState, info: ResponseInfo) -> None:
         now = self._clock.now()
-        if facts.load is not None:
-            standing.record_load(busy=facts.load.running + facts.load.waiting, now_ms=now)
-        if facts.cold_ms:
-            self._routing_state.mark_cold(standing.server.id, facts.cold_ms, now)
+        if info.load is not None:
+            server_state.record_load(busy=info.load.running + info.load.waiting, now_ms=now)
+        if info.cold_ms:
+            self._routing_state.mark_cold(server_state.server.id, info.cold_ms, now)
 
-    async def _take_answer(
+    async def _handle_response(
         self,
         attempt: Attempt,
         head: ResponseHead,
-        facts: ResponseInfo,
-        errand: AdmittedRequest,
-        progress: Progress,
-        standing: ServerState | None,
+        info: ResponseInfo,
+        request: AdmittedRequest,
+        progress: RequestProgress,
+        server_state: ServerState | None,
     ) -> None:
-        if facts.not_run:
-            await attempt.body()
-            attempt.kept()
-            if standing is not None and facts.misdirected:
-                standing.record_unreachable(self._clock.now())
-            raise NotSentError(f"status {facts.status}: not run", rejected=True)
-        good = OK <= facts.status < FIRST_ERROR
-        if good and not facts.signed:
+        if info.not_run:
+            await attempt.read_body()
+            attempt.release()
+            if server_state is not None and info.misdirected:
+                server_state.record_unreachable(self._clock.now())
+            raise NotRunError(f"status {info.status}: not run", rejected=True)
+        success = OK_STATUS <= info.status < FIRST_NON_SUCCESS_STATUS
+        if success and not info.signed:
             raise BrokenResponseError("a success that no server signed")
-        if good and facts.streamed:
-            await self._relay_stream(attempt, head, errand, progress)
+        if success and info.streamed:
+            await self._relay_stream(attempt, head, request, progress)
         else:
-            body = await attempt.body()
-            attempt.kept()
-            self._take_whole(head, facts, body, errand, progress)
-        if standing is not None:
-            if good:
-                standing.record_success()
+            body = await attempt.read_body()
+            attempt.release()
+            self._handle_whole_response(head, info, body, request, progress)
+        if server_state is not None:
+            if success:
+                server_state.record_success()
             else:
-                standing.record_failure()
+                server_state.record_failure()
 
-    def _take_whole(
+    def _handle_whole_response(
         self,
         head: ResponseHead,
-        facts: ResponseInfo,
+        info: ResponseInfo,
         body: bytes,
-        errand: AdmittedRequest,
-        progress: Progress,
+        request: AdmittedRequest,
+        progress: RequestProgress,
     ) -> None:
         progress.runs += 1
-        if facts.status >= SERVER_ERROR or facts.implies_not_run or progress.reply.started:
-            # A failure, or a whole answer where a stream was to go on.
-            progress.failed = (head, facts, body)
-            progress.why = f"status {facts.status}"
+        if (
+            info.status >= FIRST_SERVER_ERROR_STATUS
+            or info.implies_not_run
+            or progress.response.started
+        ):
+            # A failure, or a whole response where a stream was to be resumed.
+            progress.failed_response = (head, info, body)
+            progress.reason = f"status {info.status}"
             return
-        progress.reply.send(facts.status, response_headers(head.headers), body)
-        progress.pace.came(self._clock.now())
+        progress.response.send(info.status, response_headers(head.headers), body)
+        progress.timing.record_chunk(self._clock.now())
 
     async def _relay_stream(
-        self, attempt: Attempt, head: ResponseHead, errand: AdmittedRequest, progress: Progress
+        self,
+        attempt: Attempt,
+        head: ResponseHead,
+        request: AdmittedRequest,
+        progress: RequestProgress,
     ) -> None:
-        reply, splitter = progress.reply, progress.splitter
-        if not reply.started:
-            reply.start(head.status, response_headers(head.headers))
+        response, splitter = progress.response, progress.splitter
+        if not response.started:
+            response.start(head.status, response_headers(head.headers))
         try:
-            while data := await attempt.chunk():
-                progress.pace.came(self._clock.now())
-                await reply.send_chunk(splitter.take_whole(data) if errand.route.resumable else data)
+            while data := await attempt.read_chunk():
+                progress.timing.record_chunk(self._clock.now())
+                await response.send_chunk(
+                    splitter.take_whole(data) if request.route.resumable else data
+                )
         except BrokenResponseError:
-            errand.resume_after = splitter.last_id or errand.resume_after
+            request.resume_after = splitter.last_id or request.resume_after
             splitter.discard_partial()
             raise
-        attempt.kept()
+        attempt.release()
         progress.runs += 1
-        await reply.send_chunk(splitter.take_partial())
-        reply.end()
+        await response.send_chunk(splitter.take_partial())
+        response.end()
 
-    def _unreachable(self, target: Target, attempt: Attempt) -> None:
-        """Leave a target that took no connection or fell silent, with its idle connections."""
-        attempt.forget_idle()
+    def _record_unreachable(self, target: Target, attempt: Attempt) -> None:
+        """Avoid a target that took no connection or fell silent; close its idle connections."""
+        attempt.close_idle()
         match target:
-            case ToServer(standing):
-                standing.record_unreachable(self._clock.now())
-            case ToPeer(peer):
+            case ServerTarget(server_state):
+                server_state.record_unreachable(self._clock.now())
+            case PeerTarget(peer):
                 peer.forecasts = None
--- a/src/hickorybeam/gateway/service_queue.py
+++ b/src/hickorybeam/gateway/service_queue.py
@@ -1,4 +1,4 @@
-"""The tasks that wait in a line, woken in its order."""
+"""Queues of the tasks that wait for a slot at a service's servers, woken in the queue's order."""
 
 from __future__ import annotations
 
@@ -15,67 +15,67 @@
 
 __all__ = ("ServiceQueue", "ServiceQueues")
 
-# Places also come free by what other VMs tell, which wakes nobody; so a waiting task looks
-# again after this long, in ms.
-LOOK_AGAIN_MS = 25
-# How many of the first are woken by one place that comes free: the very first may not be able
-# to use it.
-WOKEN = 2
+# Slots also come free by other VMs' status reports, which wake no task, so the first tasks poll.
+POLL_INTERVAL_MS = 25
+# Number of entries at the front that a freed slot wakes: the very first may be unable to use it.
+FRONT_ENTRIES = 2
 
 
 class ServiceQueue:
-    """One service's line on this VM."""
+    """Queue of one service on this VM."""
 
     def __init__(self, clock: Clock) -> None:
-        self.policy = WaitQueue()
+        self.wait_queue = WaitQueue()
         self._clock = clock
-        self._events: dict[int, anyio.Event] = {}
+        self._wake_events: dict[int, anyio.Event] = {}
 
-    def departed(self) -> None:
-        """Count a departure and wake who is next."""
-        self.policy.record_departure(self._clock.now())
-        self._wake()
+    def record_departure(self) -> None:
+        """Record that a request left a server, and wake the front entries."""
+        self.wait_queue.record_departure(self._clock.now())
+        self._wake_front()
 
-    async def pause(self, place: QueueEntry) -> bool:
-        """Wait until it is worth looking for room; :return: whether there is patience left.
+    async def wait_for_turn(self, entry: QueueEntry) -> bool:
+        """Wait until a search for a slot may succeed, or until the entry expires.
 
-        Only the first look again by themselves: on a VM that places for its region hundreds
-        wait, and all of them looking would take the processor that the first need.
+        Only the front entries poll: on a placement coordinator hundreds of tasks wait, and if all
+        of them polled, they would use up the CPU that the first ones need.
+
+        :return: whether the entry has not expired yet.
         """
-        event = self._events[place.number] = anyio.Event()
-        left_ms = place.expires_ms - self._clock.now()
-        wait_ms = min(LOOK_AGAIN_MS, left_ms) if self.is_next(place) else left_ms
+        event = self._wake_events[entry.number] = anyio.Event()
+        left_ms = entry.expires_ms - self._clock.now()
+        wait_ms = min(POLL_INTERVAL_MS, left_ms) if self.is_near_front(entry) else left_ms
         with anyio.move_on_after(max(0, wait_ms) / MS_PER_SECOND):
             await event.wait()
-        return self._clock.now() < place.expires_ms
+        return self._clock.now() < entry.expires_ms
 
-    def is_next(self, place: QueueEntry) -> bool:
-        """Whether a place is among those that may look for room."""
-        return place in self.policy.first(WOKEN)
+    def is_near_front(self, entry: QueueEntry) -> bool:
+        """Return whether an entry is among those that may search for a slot."""
+        return entry in self.wait_queue.first(FRONT_ENTRIES)
 
-    def leave(self, place: QueueEntry) -> None:
-        """Give a place up; who comes up behind it looks."""
-        self.policy.leave(place)
-        self._events.pop(place.number, None)
-        self._wake()
+    def leave(self, entry: QueueEntry) -> None:
+        """Remove an entry, and wake the front entries."""
+        self.wait_queue.leave(entry)
+        self._wake_events.pop(entry.number, None)
+        self._wake_front()
 
-    def _wake(self) -> None:
-        for place in self.policy.first(WOKEN):
-            event = self._events.get(place.number)
+    def _wake_front(self) -> None:
+        for entry in self.wait_queue.first(FRONT_ENTRIES):
+            event = self._wake_events.get(entry.number)
             if event is not None:
                 event.set()
 
 
 class ServiceQueues:
-    """The lines of all services on this VM."""
+    """Queues of all services on this VM."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._lines: dict[str, ServiceQueue] = {}
-
-    def of(self, service: str) -> ServiceQueue:
-        """Return a service's line."""
-        line = self._lines.get(service)
-        if line is None:
-            line = self._lines[service] = ServiceQueue(self._clock)
-        return line
+        self._queues: dict[str, ServiceQueue] = {}
+
+    def for_service(self, service: str) -> ServiceQueue:
+        """Return the queue of a service."""
+        queue = self._queues.get(service)
+        if queue is None:
+            queue = self._queues[service] = ServiceQueue(self._clock)
+        return queue
--- a/src/hickorybeam/gateway/target_selector.py
+++ b/src/hickorybeam/gateway/target_selector.py
@@ -1,4 +1,4 @@
-"""Where a request goes: a server of this region, or a VM of another one."""
+"""Select the target of a request: a server of this region, or a VM of another one."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 from dataclasses import dataclass, replace
 from typing import TYPE_CHECKING
 
-from hickorybeam.gateway.attempt import ToPeer, ToServer
-from hickorybeam.gateway.in_flight import Burden
+from hickorybeam.gateway.attempt import PeerTarget, ServerTarget
+from hickorybeam.gateway.in_flight import InFlightRequest
 from hickorybeam.policy.deadline_check import can_finish
 from hickorybeam.policy.deferral import should_defer
 from hickorybeam.policy.server_choice import (
     ServerState,
     choose_server,
-    placement_cost_ms,
+    expected_wait_ms,
     interference_ms,
+    placement_cost_ms,
     uncached_prompt_tokens,
-    expected_wait_ms,
 )
 from hickorybeam.policy.server_speed import INITIAL_PREFILL_TOKENS_PER_MS
 from hickorybeam.policy.stale_load import WorkRate
@@ -28,76 +28,78 @@
     from hickorybeam.clock import Clock
     from hickorybeam.gateway.attempt import AdmittedRequest, Target
     from hickorybeam.gateway.fleet import FleetService
+    from hickorybeam.gateway.peers import RemoteCandidate
+    from hickorybeam.gateway.placement_client import SlotGrant
     from hickorybeam.gateway.routing_state import RoutingState
     from hickorybeam.gateway.service_queue import ServiceQueues
-    from hickorybeam.gateway.peers import RemoteCandidate
-    from hickorybeam.gateway.placement_client import Grant
     from hickorybeam.gateway.status_report import WaitForecast
     from hickorybeam.model.routing import RelayCall
     from hickorybeam.policy.cold_limit import ColdServerLimiter
     from hickorybeam.policy.shutdown import ShutdownSchedule
 
-__all__ = ("Full", "Nowhere", "OpenTargets", "TargetSelector", "size_of")
+__all__ = ("NoCapacity", "NoTarget", "TargetFilter", "TargetSelector", "held_tokens_of")
 
-# The way to another region and back, in ms, and by how much its wait has to be shorter.
-REGION_WAY_MS = 160.0
+# Round trip to another region.
+REGION_ROUND_TRIP_MS = 160.0
+# Another region is used only if its wait is shorter by more than this.
 SPILL_MARGIN_MS = 150.0
-# VMs of one region tell waits that differ by less than this for the same servers, in ms.
-SAME_WAIT_MS = 20
-# What a region without room adds to the wait that it tells others, in ms: they send there
-# only what would wait much longer at home.
-FULL_MS = 500.0
-# Cache of one server in tokens, where its service doesn't tell.
+# VMs of one region forecast waits that differ by less than this for the same servers.
+EQUAL_WAIT_MARGIN_MS = 20
+# Added to the forecast wait of a region without a free slot: other regions then send it only what
+# would wait much longer at home.
+NO_CAPACITY_PENALTY_MS = 500.0
+# Cache size of one server if its service doesn't declare it.
 DEFAULT_CACHE_TOKENS = 200_000
 
 
 @dataclass(frozen=True, slots=True)
-class Full:
-    """Servers that may take a request have no room; about when there will be.
+class NoCapacity:
+    """No server that may take the request has a free slot now.
 
-    ``late``: they have, but it could only be late there, and gives way to others. ``in_vain``:
-    it couldn't end before its deadline, so no wait helps.
-    ``come_back_ms``: when its caller should come back, where another VM has said so.
+    ``wait_ms`` is the expected time until one has. ``deferred``: there are free slots, but the
+    request would miss its objective there and lets others go first. ``misses_deadline``: it can't
+    finish before its deadline, so waiting doesn't help. ``retry_after_ms`` is the retry-after for
+    its caller, if another VM gave one.
     """
 
     wait_ms: float
-    late: bool = False
-    in_vain: bool = False
-    come_back_ms: int | None = None
+    deferred: bool = False
+    misses_deadline: bool = False
+    retry_after_ms: int | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class Nowhere:
-    """The VM that places says that nothing can take a request."""
+class NoTarget:
+    """The placement coordinator responded that nothing can take the request."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class OpenTargets:
-    """Which targets are open to a request.
-
-    ``tried`` names those that it was sent to before; ``again``: one of them may be tried again
-    where there is no other. ``refused`` names regions that have refused it: another VM of one
-    has the same servers. ``here_only``: it came from another VM, so it is run in this region or
-    not at all. ``late_waits``: if it can only be late, it waits for a server with little to read.
-    ``sent_from`` is the data centre whose servers are preferred, that of the VM which sends it.
+class TargetFilter:
+    """Which targets a request may go to.
+
+    ``tried`` names targets that it was sent to before; with ``retry_tried`` one of these may be
+    used again if there is no other. ``refused_regions`` have refused it: their other VMs have the
+    same servers. ``own_region_only``: another VM forwarded it, so it is run in this region or not
+    at all. ``may_defer``: if it will miss its objective, it waits for a server with little to
+    prefill. ``origin_data_centre`` is that of the VM which sends it, whose servers are preferred.
     """
 
     tried: Collection[str] = ()
-    refused: Collection[str] = ()
-    again: bool = False
-    here_only: bool = False
-    late_waits: bool = True
-    sent_from: str = ""
+    refused_regions: Collection[str] = ()
+    retry_tried: bool = False
+    own_region_only: bool = False
+    may_defer: bool = True
+    origin_data_centre: str = ""
 
-    def without_patience(self) -> OpenTargets:
-        """Return the same for a request that doesn't wait for being late."""
-        return replace(self, late_waits=False)
+    def without_deferral(self) -> TargetFilter:
+        """Return the same filter for a request that is not deferred any longer."""
+        return replace(self, may_defer=False)
 
 
 class TargetSelector:
-    """Chooses targets by what this VM knows now.
+    """Selects targets by what this VM knows now.
 
-    :param shutdown: what VMs that shut down still take.
+    :param shutdown: what VMs that are shutting down still accept.
     """
 
     def __init__(
@@ -113,267 +115,315 @@
         self._clock = clock
         self._routing_state = routing_state
         self._fleet = fleet
-        self._lines = queues
+        self._queues = queues
         self._rng = random.Random()
-        self._recent: defaultdict[str, WorkRate] = defaultdict(WorkRate)
-        self._nothing_since: dict[str, int] = {}
+        self._work_rates: defaultdict[str, WorkRate] = defaultdict(WorkRate)
+        self._no_target_since_ms: dict[str, int] = {}
 
-    def choose(self, errand: AdmittedRequest, targets: OpenTargets) -> Target | Full | None:
-        """Pick a server of this region, or a VM of another one whose wait is much shorter."""
+    def choose(self, request: AdmittedRequest, targets: TargetFilter) -> Target | NoCapacity | None:
+        """Choose a server of this region, or a VM of another one whose wait is much shorter."""
         now = self._clock.now()
-        found = self._chosen(errand, targets, now)
+        found = self._choose(request, targets, now)
         if found is not None:
-            self._nothing_since.pop(errand.service, None)
+            self._no_target_since_ms.pop(request.service, None)
         elif not targets.tried:
-            self._nothing_since.setdefault(errand.service, now)
+            self._no_target_since_ms.setdefault(request.service, now)
         return found
 
-    def away_ms(self, service: str, now_ms: int) -> int:
-        """Return for how long nothing has been found that could take a service's requests."""
-        return now_ms - self._nothing_since.get(service, now_ms)
-
-    def _chosen(self, errand: AdmittedRequest, targets: OpenTargets, now: int) -> Target | Full | None:
-        here: ServerState | Full | None = None
-        if targets.here_only or self._allowed(errand, self._fleet.own_vm.region):
-            here = self._choose_here(errand, targets, now)
-        away = None if targets.here_only else self._choose_away(errand, targets)
-        if away is not None and (
-            here is None or self._cost_here(here, errand, now) > away[1] + SPILL_MARGIN_MS
+    def outage_ms(self, service: str, now_ms: int) -> int:
+        """Return for how long there has been no target for a service's requests."""
+        return now_ms - self._no_target_since_ms.get(service, now_ms)
+
+    def _choose(
+        self, request: AdmittedRequest, targets: TargetFilter, now: int
+    ) -> Target | NoCapacity | None:
+        server: ServerState | NoCapacity | None = None
+        if targets.own_region_only or self._may_run_in(request, self._fleet.own_vm.region):
+            server = self._choose_server(request, targets, now)
+        peer = None if targets.own_region_only else self._choose_peer(request, targets)
+        if peer is not None and (
+            server is None
+            or self._own_region_cost_ms(server, request, now) > peer[1] + SPILL_MARGIN_MS
         ):
-            return away[0] if self._in_time_away(errand, now) else Full(0.0, in_vain=True)
-        if here is None or isinstance(here, Full):
-            return here
-        if not self._in_time(here, errand, now):
-            return Full(0.0, in_vain=True)
-        if self._routing_state.is_cold(here.server.id, now):
-            self._cold_limit(here, now).take(now)
-        return ToServer(here)
-
-    def _cost_here(self, here: ServerState | Full, errand: AdmittedRequest, now_ms: int) -> float:
-        if isinstance(here, Full):
-            return here.wait_ms
-        call = errand.call
-        return placement_cost_ms(here, uncached_prompt_tokens(here, call.parts, call.prompt_tokens), now_ms)
-
-    def _in_time(self, standing: ServerState, errand: AdmittedRequest, now_ms: int) -> bool:
-        """Whether a server could answer a request before its deadline."""
-        call, pace = errand.call, standing.speed
-        to_read = standing.pending_prefill_tokens() + uncached_prompt_tokens(standing, call.parts, call.prompt_tokens)
+            return (
+                peer[0]
+                if self._can_finish_remotely(request, now)
+                else NoCapacity(0.0, misses_deadline=True)
+            )
+        if server is None or isinstance(server, NoCapacity):
+            return server
+        if not self._can_finish_at(server, request, now):
+            return NoCapacity(0.0, misses_deadline=True)
+        if self._routing_state.is_cold(server.server.id, now):
+            self._cold_limiter(server, now).take(now)
+        return ServerTarget(server)
+
+    def _own_region_cost_ms(
+        self, server: ServerState | NoCapacity, request: AdmittedRequest, now_ms: int
+    ) -> float:
+        if isinstance(server, NoCapacity):
+            return server.wait_ms
+        call = request.call
+        return placement_cost_ms(
+            server, uncached_prompt_tokens(server, call.parts, call.prompt_tokens), now_ms
+        )
+
+    def _can_finish_at(
+        self, server_state: ServerState, request: AdmittedRequest, now_ms: int
+    ) -> bool:
+        """Return whether a server could finish a request before its deadline."""
+        call, speed = request.call, server_state.speed
+        prefill_tokens = server_state.pending_prefill_tokens() + uncached_prompt_tokens(
+            server_state, call.parts, call.prompt_tokens
+        )
         return can_finish(
-            left_ms=errand.deadline_ms - now_ms,
-            first_event_ms=pace.prefill_ms(to_read),
-            decode_ms=pace.decode_ms(call.output_tokens),
+            left_ms=request.deadline_ms - now_ms,
+            first_event_ms=speed.prefill_ms(prefill_tokens),
+            decode_ms=speed.decode_ms(call.output_tokens),
         )
 
-    def _in_time_away(self, errand: AdmittedRequest, now_ms: int) -> bool:
-        """Whether another region could answer a request before its deadline, if it is idle."""
-        own = errand.call.parts[-1].tokens if errand.call.parts else errand.call.prompt_tokens
-        reading_ms = own / INITIAL_PREFILL_TOKENS_PER_MS
+    def _can_finish_remotely(self, request: AdmittedRequest, now_ms: int) -> bool:
+        """Return whether an idle other region could finish a request before its deadline."""
+        unshared_tokens = (
+            request.call.parts[-1].tokens if request.call.parts else request.call.prompt_tokens
+        )
+        prefill_ms = unshared_tokens / INITIAL_PREFILL_TOKENS_PER_MS
         return can_finish(
-            left_ms=errand.deadline_ms - now_ms,
-            first_event_ms=REGION_WAY_MS + reading_ms,
+            left_ms=request.deadline_ms - now_ms,
+            first_event_ms=REGION_ROUND_TRIP_MS + prefill_ms,
             decode_ms=0.0,
         )
 
-    def _choose_here(
-        self, errand: AdmittedRequest, targets: OpenTargets, now_ms: int
-    ) -> ServerState | Full | None:
-        usable = self._usable(errand.service, now_ms)
-        fresh = [it for it in usable if it.server.id not in targets.tried]
-        if not fresh and targets.again:
-            fresh = usable
-        call = errand.call
-        size = size_of(call)
-        with_room = [it for it in fresh if it.has_room(size, now_ms)]
-        if fresh and not with_room:
-            return Full(self._lines.of(errand.service).policy.expected_wait_ms(errand.urgency, now_ms))
+    def _choose_server(
+        self, request: AdmittedRequest, targets: TargetFilter, now_ms: int
+    ) -> ServerState | NoCapacity | None:
+        usable = self._usable_servers(request.service, now_ms)
+        untried = [it for it in usable if it.server.id not in targets.tried]
+        if not untried and targets.retry_tried:
+            untried = usable
+        call = request.call
+        held_tokens = held_tokens_of(call)
+        with_room = [it for it in untried if it.has_room(held_tokens, now_ms)]
+        if untried and not with_room:
+            return NoCapacity(
+                self._queues.for_service(request.service).wait_queue.expected_wait_ms(
+                    request.urgency, now_ms
+                )
+            )
         found = choose_server(
             with_room,
             parts=call.parts,
             prompt_tokens=call.prompt_tokens,
             now_ms=now_ms,
             rng=self._rng,
-            unreported_ms=self._unseen_ms(errand.service, now_ms),
-            data_centre=targets.sent_from or self._fleet.own_vm.data_centre,
+            unreported_ms=self._unreported_ms(request.service, now_ms),
+            data_centre=targets.origin_data_centre or self._fleet.own_vm.data_centre,
         )
-        if found is None or targets.here_only or not targets.late_waits:
+        if found is None or targets.own_region_only or not targets.may_defer:
             return found
-        return self._unless_late(found, errand, now_ms)
+        return self._defer_if_late(found, request, now_ms)
 
-    def _unless_late(
-        self, standing: ServerState, errand: AdmittedRequest, now_ms: int
-    ) -> ServerState | Full:
-        """Return the server, or for how long a prompt that can only be late would wait there."""
-        call, pace = errand.call, standing.speed
+    def _defer_if_late(
+        self, server_state: ServerState, request: AdmittedRequest, now_ms: int
+    ) -> ServerState | NoCapacity:
+        """Return the server, or how long a prompt that will miss its objective waits there."""
+        call, speed = request.call, server_state.speed
         if not call.parts:
-            return standing
-        ahead_ms = pace.prefill_ms(standing.pending_prefill_tokens())
-        reading_ms = pace.prefill_ms(standing.prefixes.uncached_tokens(call.parts))
-        late = should_defer(
-            target_ms=errand.route.target_ms,
+            return server_state
+        backlog_ms = speed.prefill_ms(server_state.pending_prefill_tokens())
+        prefill_ms = speed.prefill_ms(server_state.prefixes.uncached_tokens(call.parts))
+        deferred = should_defer(
+            target_ms=request.route.target_ms,
             elapsed_ms=now_ms - call.arrived_ms,
-            backlog_ms=ahead_ms,
-            prefill_ms=reading_ms,
+            backlog_ms=backlog_ms,
+            prefill_ms=prefill_ms,
         )
-        return Full(ahead_ms + reading_ms, late=True) if late else standing
+        return NoCapacity(backlog_ms + prefill_ms, deferred=True) if deferred else server_state
 
-    def begin(
+    def start(
         self,
-        standing: ServerState,
-        errand: AdmittedRequest,
+        server_state: ServerState,
+        request: AdmittedRequest,
         *,
-        given: bool = False,
-        grant: Grant | None = None,
-    ) -> Burden:
-        """Count a request that is sent to a server from now on.
+        granted: bool = False,
+        grant: SlotGrant | None = None,
+    ) -> InFlightRequest:
+        """Count a request at the server that it is sent to, from now on.
 
-        :param given: another VM sends it.
-        :param grant: the place that another VM gave it.
+        :param granted: another VM sends it, in a slot that this one grants.
+        :param grant: the slot grant, if another VM granted the slot.
         """
-        call, now = errand.call, self._clock.now()
-        missing = uncached_prompt_tokens(standing, call.parts, call.prompt_tokens)
+        call, now = request.call, self._clock.now()
+        prefill_tokens = uncached_prompt_tokens(server_state, call.parts, call.prompt_tokens)
         if grant is None:
-            foreseen_ms = expected_wait_ms(standing, missing, now)
-            copy_from = self.copy_from(standing, errand)
+            wait_ms = expected_wait_ms(server_state, prefill_tokens, now)
+            copy_from = self.copy_source(server_state, request)
         else:
-            foreseen_ms, copy_from = grant.wait_ms, grant.copy_from
-        burden = Burden(
+            wait_ms, copy_from = grant.expected_wait_ms, grant.copy_from
+        in_flight = InFlightRequest(
             clock=self._clock,
-            line=self._lines.of(errand.service),
-            standing=standing,
-            given=given,
-            size=size_of(call),
-            reading=missing,
-            ahead=standing.pending_prefill_tokens() + missing,
+            queue=self._queues.for_service(request.service),
+            server_state=server_state,
+            granted=granted,
+            held_tokens=held_tokens_of(call),
+            prefill_tokens=prefill_tokens,
+            backlog_tokens=server_state.pending_prefill_tokens() + prefill_tokens,
             sent_ms=now,
-            wait_ms=foreseen_ms,
+            expected_wait_ms=wait_ms,
             copy_from=copy_from,
-            output=call.output_tokens,
+            max_output_tokens=call.output_tokens,
             grant=grant,
         )
-        if not given:
-            self._recent[errand.service].record(standing.speed.prefill_ms(missing), now)
-        burden.begin()
-        self._remember(standing, errand, now)
-        return burden
-
-    def _remember(self, standing: ServerState, errand: AdmittedRequest, now_ms: int) -> None:
-        """Take note of the parts that a server holds from now on."""
-        parts = errand.call.parts
+        if not granted:
+            self._work_rates[request.service].record(
+                server_state.speed.prefill_ms(prefill_tokens), now
+            )
+        in_flight.start()
+        self._record_cached_parts(server_state, request, now)
+        return in_flight
+
+    def _record_cached_parts(
+        self, server_state: ServerState, request: AdmittedRequest, now_ms: int
+    ) -> None:
+        """Record the prompt parts that a server's cache holds from now on."""
+        parts = request.call.parts
         config = self._routing_state.config
-        spec = config.services.get(errand.service) if config else None
-        room = spec.engine.cache_tokens if spec and spec.engine else 0
-        standing.cache_tokens = room
-        standing.prefixes.add(parts, room or DEFAULT_CACHE_TOKENS)
-        self._fleet.prefix_holders.record_sent(parts, standing.server.id, now_ms)
+        spec = config.services.get(request.service) if config else None
+        cache_tokens = spec.engine.cache_tokens if spec and spec.engine else 0
+        server_state.cache_tokens = cache_tokens
+        server_state.prefixes.add(parts, cache_tokens or DEFAULT_CACHE_TOKENS)
+        self._fleet.prefix_holders.record_sent(parts, server_state.server.id, now_ms)
 
-    def _unseen_ms(self, service: str, now_ms: int) -> float:
-        """Return the reading that the region's other VMs sent since they were heard.
+    def _unreported_ms(self, service: str, now_ms: int) -> float:
+        """Return the prefill work that the region's other VMs sent since their last reports.
 
-        VMs of a region get about as much each, since callers choose them at random. One that
-        places for the others knows what they send.
+        It is extrapolated from this VM's own: the VMs of a region get about the same load, since
+        callers choose them at random. A placement coordinator knows what the others send.
         """
         if self._fleet.coordinators.is_coordinator(service):
             return 0.0
-        return self._recent[service].rate(now_ms) * self._fleet.report_lag_ms
+        return self._work_rates[service].rate(now_ms) * self._fleet.report_lag_ms
 
-    def _usable(self, service: str, now_ms: int) -> list[ServerState]:
+    def _usable_servers(self, service: str, now_ms: int) -> list[ServerState]:
         """Return this region's servers that may get a request now."""
         found = []
-        for standing in self._routing_state.available_servers(service):
-            if not self._fleet.in_own_region(standing.server.data_centre):
+        for server_state in self._routing_state.available_servers(service):
+            if not self._fleet.in_own_region(server_state.server.data_centre):
                 continue
-            if standing.backoff_until_ms > now_ms:
+            if server_state.backoff_until_ms > now_ms:
                 continue
-            cold = self._routing_state.is_cold(standing.server.id, now_ms)
-            if not cold or self._may_warm(standing, now_ms):
-                found.append(standing)
+            cold = self._routing_state.is_cold(server_state.server.id, now_ms)
+            if not cold or self._may_send_to_cold(server_state, now_ms):
+                found.append(server_state)
         return found
 
-    def _may_warm(self, standing: ServerState, now_ms: int) -> bool:
-        owners = self._fleet.coordinators.cold_server_senders(standing.server)
-        return self._fleet.own_vm.name in owners and self._cold_limit(standing, now_ms).ready(now_ms)
+    def _may_send_to_cold(self, server_state: ServerState, now_ms: int) -> bool:
+        senders = self._fleet.coordinators.cold_server_senders(server_state.server)
+        return self._fleet.own_vm.name in senders and self._cold_limiter(
+            server_state, now_ms
+        ).ready(now_ms)
 
-    def _cold_limit(self, standing: ServerState, now_ms: int) -> ColdServerLimiter:
-        return self._routing_state.cold_limit(standing.server, now_ms)
+    def _cold_limiter(self, server_state: ServerState, now_ms: int) -> ColdServerLimiter:
+        return self._routing_state.cold_limit(server_state.server, now_ms)
 
-    def _choose_away(self, errand: AdmittedRequest, targets: OpenTargets) -> tuple[ToPeer, float] | None:
-        found = self._elsewhere(errand, targets, self._fleet.remote_candidates(errand.service))
+    def _choose_peer(
+        self, request: AdmittedRequest, targets: TargetFilter
+    ) -> tuple[PeerTarget, float] | None:
+        """Return a VM of another region with its cost in ms, comparable with an own server's."""
+        found = self._eligible(request, targets, self._fleet.remote_candidates(request.service))
         if not found:
-            found = self._elsewhere(errand, targets, self._finishing(errand))
+            found = self._eligible(request, targets, self._leaving_candidates(request))
         if not found:
             return None
-        # Peers of one region tell nearly the same wait; the same one for all would be flooded.
-        best = [it for it in found if it.wait_ms <= found[0].wait_ms + SAME_WAIT_MS]
+        # VMs of one region forecast nearly equal waits; always taking the least would flood one.
+        best = [it for it in found if it.wait_ms <= found[0].wait_ms + EQUAL_WAIT_MARGIN_MS]
         pick = self._rng.choice(best)
-        reading_ms = errand.call.prompt_tokens / INITIAL_PREFILL_TOKENS_PER_MS
-        others_ms = interference_ms(reading_ms, pick.running)
-        return ToPeer(pick.peer), pick.wait_ms + reading_ms + others_ms + REGION_WAY_MS
+        prefill_ms = request.call.prompt_tokens / INITIAL_PREFILL_TOKENS_PER_MS
+        others_ms = interference_ms(prefill_ms, pick.running)
+        return (
+            PeerTarget(pick.peer),
+            pick.wait_ms + prefill_ms + others_ms + REGION_ROUND_TRIP_MS,
+        )
 
-    def _elsewhere(
-        self, errand: AdmittedRequest, targets: OpenTargets, told: Iterable[RemoteCandidate]
+    def _eligible(
+        self,
+        request: AdmittedRequest,
+        targets: TargetFilter,
+        candidates: Iterable[RemoteCandidate],
     ) -> list[RemoteCandidate]:
-        """Return those other regions' VMs that a request may go to."""
+        """Return the candidates that a request may go to."""
         return [
             it
-            for it in told
-            if self._allowed(errand, it.peer.vm.region)
+            for it in candidates
+            if self._may_run_in(request, it.peer.vm.region)
             and it.peer.vm.name not in targets.tried
-            and it.peer.vm.region not in targets.refused
+            and it.peer.vm.region not in targets.refused_regions
         ]
 
-    def _finishing(self, errand: AdmittedRequest) -> list[RemoteCandidate]:
-        """Return VMs of other regions that shut down and surely end a request before they do.
+    def _leaving_candidates(self, request: AdmittedRequest) -> list[RemoteCandidate]:
+        """Return VMs of other regions that are shutting down but will finish a request first.
 
         While a region's VMs are replaced in turn, all of them may be shutting down. Requests that
-        may run nowhere else would be refused for seconds, though these VMs still take them.
+        may run nowhere else would be refused for seconds, though these VMs still accept them.
         """
         now = self._clock.now()
-        left_ms = errand.deadline_ms - now
+        left_ms = request.deadline_ms - now
         return [
             it
-            for it in self._fleet.remote_candidates(errand.service, leaving=True)
+            for it in self._fleet.remote_candidates(request.service, leaving=True)
             if self.shutdown.accepts(since_ms=now - it.peer.leaving_since_ms, left_ms=left_ms)
         ]
 
-    def _allowed(self, errand: AdmittedRequest, region: str) -> bool:
-        homes = [errand.route.homes]
+    def _may_run_in(self, request: AdmittedRequest, region: str) -> bool:
+        """Return whether a region is a home region of the request's route and account."""
+        homes = [request.route.homes]
         config = self._routing_state.config
-        terms = config.accounts.get(errand.account or "") if config else None
+        terms = config.accounts.get(request.account or "") if config else None
         if terms is not None:
             homes.append(terms.homes)
         return all(not home or region in home for home in homes)
 
-    def copy_from(self, standing: ServerState | None, errand: AdmittedRequest) -> str | None:
+    def copy_source(self, server_state: ServerState | None, request: AdmittedRequest) -> str | None:
         """Return the address of a server from which a prompt's shared parts can be copied."""
-        parts = errand.call.parts
-        if standing is None or len(parts) < 2 or not standing.prefixes.uncached_tokens(parts[:-1]):
+        parts = request.call.parts
+        if (
+            server_state is None
+            or len(parts) < 2
+            or not server_state.prefixes.uncached_tokens(parts[:-1])
+        ):
             return None
         now = self._clock.now()
-        holder = self._routing_state.server_states.get(self._fleet.prefix_holders.find_holder(parts, now) or "")
-        if holder is None or holder is standing or holder.backoff_until_ms > now:
+        holder = self._routing_state.server_states.get(
+            self._fleet.prefix_holders.find_holder(parts, now) or ""
+        )
+        if holder is None or holder is server_state or holder.backoff_until_ms > now:
             return None
-        if holder.server.leaving or holder.server.service != standing.server.service:
+        if holder.server.leaving or holder.server.service != server_state.server.service:
             return None
         return f"{holder.server.host}:{holder.server.port}"
 
     def forecasts(self) -> dict[str, WaitForecast]:
-        """Return what other regions are told of this one, by service that has servers."""
+        """Return the wait forecasts for other regions, by service that has usable servers."""
         config = self._routing_state.config
         now = self._clock.now()
         found: dict[str, WaitForecast] = {}
         for service in config.services if config else ():
-            usable = self._usable(service, now)
-            free = [it for it in usable if it.has_room(0, now)]
-            if free:
-                found[service] = min((round(expected_wait_ms(it, 0, now)), it.in_flight(now)) for it in free)
+            usable = self._usable_servers(service, now)
+            with_room = [it for it in usable if it.has_room(0, now)]
+            if with_room:
+                found[service] = min(
+                    (round(expected_wait_ms(it, 0, now)), it.in_flight(now)) for it in with_room
+                )
             elif usable:
-                wait = self._lines.of(service).policy.expected_wait_ms(0, now) + FULL_MS
-                found[service] = (round(wait), min(it.in_flight(now) for it in usable))
+                wait_ms = (
+                    self._queues.for_service(service).wait_queue.expected_wait_ms(0, now)
+                    + NO_CAPACITY_PENALTY_MS
+                )
+                found[service] = (round(wait_ms), min(it.in_flight(now) for it in usable))
         return found
 
 
-def size_of(call: RelayCall) -> int:
+def held_tokens_of(call: RelayCall) -> int:
     """Return the tokens that a request holds in a server's memory, beyond its shared parts."""
-    own = call.parts[-1].tokens if call.parts else call.prompt_tokens
-    return own + call.output_tokens
+    unshared_tokens = call.parts[-1].tokens if call.parts else call.prompt_tokens
+    return unshared_tokens + call.output_tokens
--- a/src/hickorybeam/gateway/vm_client.py
+++ b/src/hickorybeam/gateway/vm_client.py
@@ -1,4 +1,4 @@
-"""Asking another VM something on one of its ports, once and within a limit."""
+"""HTTP client for requests to other VMs."""
 
 from __future__ import annotations
 
@@ -17,25 +17,27 @@
 
 __all__ = ("VmClient",)
 
-OK = 200
-# A VM that is there answers from memory within some ms; one in another region within 200.
-ANSWER_LIMIT_MS = 1_000
-CONNECT_MS = 300
+STATUS_OK = 200
+# A running VM responds from memory within some ms; one in another region within 200.
+RESPONSE_TIMEOUT_MS = 1_000
+CONNECT_TIMEOUT_MS = 300
 
 
 class VmClient:
-    """Asks other VMs, each time on a new connection: an old one may have gone silent."""
+    """Sends each request once, on a new connection: an older one may have gone silent."""
 
     def __init__(self, clock: Clock) -> None:
-        self._pool = UpstreamPool(clock, connect_ms=CONNECT_MS, silent_ms=ANSWER_LIMIT_MS)
+        self._pool = UpstreamPool(
+            clock, connect_ms=CONNECT_TIMEOUT_MS, silent_ms=RESPONSE_TIMEOUT_MS
+        )
 
     async def get(self, address: Address, path: str) -> bytes:
-        """Ask another VM.
+        """Return the body of another VM's response.
 
-        :raises GatewayError: ``PEER_UNREACHABLE``, also where it has no answer.
+        :raises GatewayError: ``PEER_UNREACHABLE``, also for a response without status 200.
         """
         try:
-            with anyio.fail_after(ANSWER_LIMIT_MS / MS_PER_SECOND):
+            with anyio.fail_after(RESPONSE_TIMEOUT_MS / MS_PER_SECOND):
                 conn = await self._pool.acquire(address, fresh=True)
                 try:
                     conn.send(request_bytes("GET", path.encode(), ((b"host", b"vm"),), b""))
@@ -45,6 +47,6 @@
                     conn.abort()
         except (ConnectFailedError, BrokenResponseError, TimeoutError) as exc:
             raise GatewayError(ErrorKind.PEER_UNREACHABLE, repr(exc)) from exc
-        if head.status != OK:
+        if head.status != STATUS_OK:
             raise GatewayError(ErrorKind.PEER_UNREACHABLE, f"status {head.status}")
         return body
--- a/tests/steps/gateway/placement_steps.py
+++ b/tests/steps/gateway/placement_steps.py
@@ -8,15 +8,20 @@
 from behave import given, then, when
 
 from hickorybeam.clock import SystemClock
-from hickorybeam.gateway.placement_messages import PlacementResponse, HeldPlacements, PlacementUpdate, PlacementRequest
+from hickorybeam.gateway.placement_messages import (
+    HeldPlacements,
+    PlacementRequest,
+    PlacementResponse,
+    PlacementUpdate,
+)
 from support.gateway import executed_requests, small_gateway
 
-LEAVES_AFTER_S = 0.004
+DISCONNECT_AFTER_S = 0.004
 MODEL = "model"
 
 
 @asynccontextmanager
-async def two_centres():
+async def two_data_centres():
     async with small_gateway(vms=("n1", "n2", "n3"), second=("t1", "t2", "t3")) as rig:
         await rig.add_server("m2", MODEL, "north-2")
         await rig.settled()
@@ -24,13 +29,13 @@
 
 
 @given("a gateway of two data centres with three VMs and a model server in each")
-def step_two_centres(context):
-    manager = context.portal.wrap_async_context_manager(two_centres())
+def step_two_data_centres(context):
+    manager = context.portal.wrap_async_context_manager(two_data_centres())
     context.rig = context.stack.enter_context(manager)
 
 
-@given('one VM places the prompts of service "{service}" for all')
-def step_places(context, service):
+@given('one VM coordinates the placement of service "{service}"')
+def step_coordinator(context, service):
     rig = context.rig
     fleets = [vm.fleet for vm in rig.vms.values()]
 
@@ -41,10 +46,10 @@
         )
 
     context.call(lambda: rig.until(agreed))
-    context.placer = fleets[0].coordinators.coordinator(service)
+    context.coordinator = fleets[0].coordinators.coordinator(service)
 
 
-async def ask(context, vm, number):
+async def send_prompt(context, vm, number):
     began = time.monotonic()
     part = f"5c1e:3000,{number:x}:20".encode()
     more = ((b"x-hickorybeam-prompt-prefix", part),)
@@ -54,98 +59,105 @@
     context.answers.append((found, (time.monotonic() - began) * 1000))
 
 
-async def ask_in_turn(context, vm, numbers):
+async def send_in_turn(context, vm, numbers):
     for number in numbers:
-        await ask(context, vm, number)
+        await send_prompt(context, vm, number)
 
 
-def ask_all(context, count, *, leave_after_s=None):
+def send_to_all(context, count, *, disconnect_after_s=None):
     context.answers = []
     numbers = itertools.count(1)
 
     async def run():
-        with anyio.move_on_after(leave_after_s):
+        with anyio.move_on_after(disconnect_after_s):
             async with anyio.create_task_group() as tg:
                 for vm in context.rig.vms:
-                    tg.start_soon(ask_in_turn, context, vm, [next(numbers) for _ in range(count)])
+                    tg.start_soon(send_in_turn, context, vm, [next(numbers) for _ in range(count)])
 
-    context.asked = count * len(context.rig.vms)
+    context.sent = count * len(context.rig.vms)
     context.call(run)
 
 
-@when("callers ask every VM for {count:d} prompts")
-def step_ask(context, count):
-    ask_all(context, count)
+@when("callers send every VM {count:d} prompts")
+def step_send(context, count):
+    send_to_all(context, count)
 
 
-@when("callers ask every VM for {count:d} prompts, one VM after the other")
-def step_ask_in_turn(context, count):
+@when("callers send every VM {count:d} prompts, one VM after the other")
+def step_send_in_turn(context, count):
     context.answers = []
-    context.asked = count * len(context.rig.vms)
+    context.sent = count * len(context.rig.vms)
     context.by_vm = {}
     numbers = itertools.count(1)
     for vm in context.rig.vms:
         known = {it.request_id for it in executed_requests(context.rig, MODEL)}
-        context.call(ask_in_turn, context, vm, [next(numbers) for _ in range(count)])
+        context.call(send_in_turn, context, vm, [next(numbers) for _ in range(count)])
         context.by_vm[vm] = {it.request_id for it in executed_requests(context.rig, MODEL)} - known
 
 
-@then("each prompt ran in the data centre of the VM that was asked")
-def step_near(context):
+@then("each prompt ran in the data centre of the VM that got it")
+def step_data_centre(context):
     rig = context.rig
     where = {
         it.request_id: server.data_centre for server in rig.servers.values() for it in server.ran
     }
     for name, ids in context.by_vm.items():
         home = rig.vms[name].fleet.own_vm.data_centre
-        assert {where[it] for it in ids} == {home}, (name, context.placer, ids, where)
+        assert {where[it] for it in ids} == {home}, (name, context.coordinator, ids, where)
 
 
-@when("callers ask every VM for {count:d} prompts and leave at once")
-def step_leave(context, count):
-    ask_all(context, count, leave_after_s=LEAVES_AFTER_S)
+@when("callers send every VM {count:d} prompts and disconnect at once")
+def step_disconnect(context, count):
+    send_to_all(context, count, disconnect_after_s=DISCONNECT_AFTER_S)
 
 
-@when("the placing VM crashes and callers ask every VM that is left for {count:d} prompts")
+@when("the coordinator crashes and callers send every remaining VM {count:d} prompts")
 def step_crash(context, count):
     async def crash():
-        vm = context.rig.vms.pop(context.placer)
+        vm = context.rig.vms.pop(context.coordinator)
         vm.kill()
         await vm.ended.wait()
 
     context.call(crash)
-    ask_all(context, count)
+    send_to_all(context, count)
 
 
-@when("the VM that would be the last to place hears nobody any more")
-def step_deaf(context):
-    name = context.deaf = context.rig.vms[context.placer].fleet.coordinators.ranking(MODEL)[-1]
+@when("the VM that ranks last as coordinator gets no messages any more")
+def step_isolated(context):
+    name = context.isolated = context.rig.vms[context.coordinator].fleet.coordinators.ranking(
+        MODEL
+    )[-1]
     context.rig.vms[name].fleet._transport.get_protocol()._receive = lambda data: None
 
 
-@when("a caller asks it for {count:d} prompts one after the other")
-def step_ask_one(context, count):
+@when("a caller sends it {count:d} prompts one after the other")
+def step_send_one(context, count):
     context.answers = []
-    context.asked = count
-    context.call(ask_in_turn, context, context.deaf, range(1, count + 1))
+    context.sent = count
+    context.call(send_in_turn, context, context.isolated, range(1, count + 1))
 
 
-@then("for at most {count:d} of them it waited for an answer in vain")
-def step_in_vain(context, count):
-    vain = places(context.rig.vms[context.deaf], "silent")
-    assert 0 < vain <= count, vain
+@then("for at most {count:d} of them it got no placement response")
+def step_no_response(context, count):
+    unanswered = placements(context.rig.vms[context.isolated], "silent")
+    assert 0 < unanswered <= count, unanswered
 
 
-@when("every third datagram about places is lost")
+@when("every third placement message is lost")
 def step_lossy(context):
     numbers = itertools.count()
 
-    def lossy(say):
-        def said(vm, word):
-            if not isinstance(word, PlacementRequest | PlacementResponse | PlacementUpdate | HeldPlacements) or next(numbers) % 3:
-                say(vm, word)
+    def lossy(send_message):
+        def lossy_send(vm, message):
+            if (
+                not isinstance(
+                    message, PlacementRequest | PlacementResponse | PlacementUpdate | HeldPlacements
+                )
+                or next(numbers) % 3
+            ):
+                send_message(vm, message)
 
-        return said
+        return lossy_send
 
     for vm in context.rig.vms.values():
         vm.fleet.send_message = lossy(vm.fleet.send_message)
@@ -154,22 +166,22 @@
 @then("all prompts are answered and ran once")
 def step_answered(context):
     statuses = [found.status for found, _ in context.answers]
-    assert statuses == [200] * context.asked, statuses
+    assert statuses == [200] * context.sent, statuses
     assert all(found.whole for found, _ in context.answers)
     ids = [it.request_id for it in executed_requests(context.rig, MODEL)]
-    assert len(ids) == len(set(ids)) == context.asked, len(ids)
+    assert len(ids) == len(set(ids)) == context.sent, len(ids)
 
 
-@then("each VM but the placing one got {count:d} places from it")
-def step_places_given(context, count):
+@then("each VM but the coordinator was granted {count:d} slots")
+def step_granted(context, count):
     for name, vm in context.rig.vms.items():
-        wanted = 0 if name == context.placer else count
-        assert places(vm) == wanted, (name, places(vm))
+        expected = 0 if name == context.coordinator else count
+        assert placements(vm) == expected, (name, placements(vm))
 
 
-def places(vm, answer="server"):
+def placements(vm, result="server"):
     text = vm.relay._counters.text().decode()
-    line = f'hickorybeam_places_total{{answer="{answer}"}} '
+    line = f'hickorybeam_places_total{{answer="{result}"}} '
     found = [it for it in text.splitlines() if it.startswith(line)]
     return float(found[0].removeprefix(line)) if found else 0
 
@@ -183,7 +195,14 @@
 def step_nothing_left(context, limit):
     def nothing():
         return all(
-            (it.own_requests, it.own_prefill_tokens, it.own_held_tokens, it.granted_requests, it.granted_prefill_tokens, it.granted_held_tokens)
+            (
+                it.own_requests,
+                it.own_prefill_tokens,
+                it.own_held_tokens,
+                it.granted_requests,
+                it.granted_prefill_tokens,
+                it.granted_held_tokens,
+            )
             == (0,) * 6
             for vm in context.rig.vms.values()
             for it in vm.routing_state.server_states.values()
@@ -192,7 +211,7 @@
     context.call(lambda: context.rig.until(nothing, limit_s=limit))
 
 
-@when("the only model server starts anew and is cold for {ms:d} ms")
+@when("the only model server restarts and is cold for {ms:d} ms")
 def step_cold(context, ms):
     rig = context.rig
 
@@ -206,20 +225,20 @@
     context.before = len(executed_requests(rig, MODEL))
 
 
-@when("callers ask every VM for prompts during {ms:d} ms")
-def step_ask_for(context, ms):
+@when("callers send every VM prompts during {ms:d} ms")
+def step_send_during(context, ms):
     context.answers = []
     numbers = itertools.count(1)
 
-    async def keep_asking(vm):
+    async def keep_sending(vm):
         while True:
-            await ask(context, vm, next(numbers))
+            await send_prompt(context, vm, next(numbers))
 
     async def run():
         with anyio.move_on_after(ms / 1000):
             async with anyio.create_task_group() as tg:
                 for vm in context.rig.vms:
-                    tg.start_soon(keep_asking, vm)
+                    tg.start_soon(keep_sending, vm)
 
     context.call(run)
 
--- a/tests/steps/gateway/service_queue_steps.py
+++ b/tests/steps/gateway/service_queue_steps.py
@@ -33,8 +33,8 @@
     async def start():
         # Enough departures that no request is refused an entry in the queue.
         for _ in range(1_000):
-            context.queue.policy.record_departure(clock.now())
-        context.entries = [context.queue.policy.enter(1, ms, clock.now()) for _ in range(count)]
+            context.queue.wait_queue.record_departure(clock.now())
+        context.entries = [context.queue.wait_queue.enter(1, ms, clock.now()) for _ in range(count)]
         context.began = anyio.current_time()
 
     context.call(start)
--- a/tests/support/gateway.py
+++ b/tests/support/gateway.py
@@ -11,7 +11,9 @@
 
 
 @asynccontextmanager
-async def small_gateway(*, vms=("n1",), servers=ONE_SERVER_OF_EACH, south=False, second=(), grace_s=2.0):
+async def small_gateway(
+    *, vms=("n1",), servers=ONE_SERVER_OF_EACH, south=False, second=(), grace_s=2.0
+):
     """Run a store, backend servers and VMs, and wait until all VMs know each other.
 
     :param south: add a VM and a server of each service in the other region.
--- a/tests/support/peer_nodes.py
+++ b/tests/support/peer_nodes.py
@@ -11,9 +11,6 @@
 from hickorybeam.errors import ErrorKind, GatewayError
 from hickorybeam.kernel import Kernel, Service
 from hickorybeam.model import (
-    ResponseChunk,
-    ResponseEnd,
-    ResponseHead,
     Call,
     CallKind,
     ClientAccount,
@@ -21,6 +18,9 @@
     EntryVm,
     Region,
     ResidencyRule,
+    ResponseChunk,
+    ResponseEnd,
+    ResponseHead,
     Usage,
     Versioned,
     VmId,
