--- a/src/hickorybeam/gateway/coordinator_ranking.py
+++ b/src/hickorybeam/gateway/coordinator_ranking.py
@@ -20,8 +20,8 @@
     """The region's VMs ranked as placement coordinators of each service, as this VM knows them.
 
     :param own_vm: the VM of this process.
-    :param is_stable: returns whether this VM has run long enough for the others to know it, and
-        is not leaving.
+    :param is_stable: returns whether this VM has run long enough to know all others and is not
+        leaving.
     """
 
     def __init__(self, own_vm: GatewayVm, peers: PeerTable, is_stable: Callable[[], bool]) -> None:
--- a/tests/gateway/placement.feature
+++ b/tests/gateway/placement.feature
@@ -6,7 +6,7 @@
 
   Scenario: prompts are placed by the coordinator and run once
     When callers send every VM 4 prompts
-    Then all prompts are answered and ran once
+    Then all prompts get a response and ran once
     And each VM but the coordinator was granted 4 slots
     And within 2 s no VM counts a request at any server
 
@@ -14,8 +14,8 @@
     # The other VMs don't know yet that it is gone, and get no placement responses. Each places by
     # itself after a tenth of a second instead of waiting for a response.
     When the coordinator crashes and callers send every remaining VM 4 prompts
-    Then all prompts are answered and ran once
-    And each prompt was answered within 1500 ms
+    Then all prompts get a response and ran once
+    And each prompt got its response within 1500 ms
     And within 2 s no VM counts a request at any server
 
   Scenario: an isolated VM does not try one coordinator after the other
@@ -23,7 +23,7 @@
     # delay its prompt by a tenth of a second for as long as it takes the other VMs to be live.
     When the VM that ranks last as coordinator gets no messages any more
     And a caller sends it 10 prompts one after the other
-    Then all prompts are answered and ran once
+    Then all prompts get a response and ran once
     And for at most 3 of them it got no placement response
 
   Scenario: lost placement messages are made up for
@@ -32,7 +32,7 @@
     # 0.8 s; with every third message lost, it takes some of these.
     When every third placement message is lost
     And callers send every VM 8 prompts
-    Then all prompts are answered and ran once
+    Then all prompts get a response and ran once
     And within 4 s no VM counts a request at any server
 
   Scenario: a caller that disconnects during placement leaves no slot taken
--- a/tests/gateway/placement_data_centres.feature
+++ b/tests/gateway/placement_data_centres.feature
@@ -7,5 +7,5 @@
     Given a gateway of two data centres with three VMs and a model server in each
     And one VM coordinates the placement of service "model"
     When callers send every VM 4 prompts, one VM after the other
-    Then all prompts are answered and ran once
+    Then all prompts get a response and ran once
     And each prompt ran in the data centre of the VM that got it
--- a/tests/steps/gateway/placement_steps.py
+++ b/tests/steps/gateway/placement_steps.py
@@ -56,7 +56,7 @@
     found = await context.rig.call(
         vm, "/chat/x", key="large", method="POST", body=b"{}", tokens=b"3020,10", more=more
     )
-    context.answers.append((found, (time.monotonic() - began) * 1000))
+    context.responses.append((found, (time.monotonic() - began) * 1000))
 
 
 async def send_in_turn(context, vm, numbers):
@@ -65,7 +65,7 @@
 
 
 def send_to_all(context, count, *, disconnect_after_s=None):
-    context.answers = []
+    context.responses = []
     numbers = itertools.count(1)
 
     async def run():
@@ -85,7 +85,7 @@
 
 @when("callers send every VM {count:d} prompts, one VM after the other")
 def step_send_in_turn(context, count):
-    context.answers = []
+    context.responses = []
     context.sent = count * len(context.rig.vms)
     context.by_vm = {}
     numbers = itertools.count(1)
@@ -132,7 +132,7 @@
 
 @when("a caller sends it {count:d} prompts one after the other")
 def step_send_one(context, count):
-    context.answers = []
+    context.responses = []
     context.sent = count
     context.call(send_in_turn, context, context.isolated, range(1, count + 1))
 
@@ -163,11 +163,11 @@
         vm.fleet.send_message = lossy(vm.fleet.send_message)
 
 
-@then("all prompts are answered and ran once")
+@then("all prompts get a response and ran once")
 def step_answered(context):
-    statuses = [found.status for found, _ in context.answers]
+    statuses = [found.status for found, _ in context.responses]
     assert statuses == [200] * context.sent, statuses
-    assert all(found.whole for found, _ in context.answers)
+    assert all(found.whole for found, _ in context.responses)
     ids = [it.request_id for it in executed_requests(context.rig, MODEL)]
     assert len(ids) == len(set(ids)) == context.sent, len(ids)
 
@@ -186,9 +186,9 @@
     return float(found[0].removeprefix(line)) if found else 0
 
 
-@then("each prompt was answered within {ms:d} ms")
+@then("each prompt got its response within {ms:d} ms")
 def step_within(context, ms):
-    assert all(took < ms for _, took in context.answers), [took for _, took in context.answers]
+    assert all(took < ms for _, took in context.responses), [took for _, took in context.responses]
 
 
 @then("within {limit:d} s no VM counts a request at any server")
@@ -227,7 +227,7 @@
 
 @when("callers send every VM prompts during {ms:d} ms")
 def step_send_during(context, ms):
-    context.answers = []
+    context.responses = []
     numbers = itertools.count(1)
 
     async def keep_sending(vm):
