--- a/src/hickorybeam/policy/backend_table.py
+++ b/src/hickorybeam/policy/backend_table.py
@@ -1,4 +1,4 @@
-"""What this VM knows of each backend server, and the choice among them."""
+"""State of each backend server of the region as this VM knows it, and the choice among them."""
 
 from __future__ import annotations
 
@@ -21,22 +21,21 @@
 
 __all__ = ("BackendTable",)
 
-# A first token takes longer for a longer prompt; the prompt length at which it takes twice
-# as long as for an empty one. Engines read about 5-10 thousand prompt tokens a second and
-# take some 50 ms for a first step.
-PROMPT_SCALE = 400.0
-# How long own figures are kept, to subtract them from a report of that time: reports come
+# Prompt length at which the first token takes twice as long as for an empty prompt. Engines
+# prefill about 5-10 thousand prompt tokens a second and take some 50 ms for a first step.
+DOUBLE_FIRST_TOKEN_PROMPT_TOKENS = 400.0
+# How long this VM's past load is kept, to subtract it from a report of that time: reports come
 # every 500 ms and lag by up to a few seconds.
 HISTORY_MS = 5_000
-# A server whose own queue is longer than this share of its slots has too much. Below it a
-# report has merely caught requests between two steps.
-QUEUE_SHARE = 0.1
-MOSTLY = 0.5
+# A server whose own queue is longer than this share of its slots is congested. A shorter queue
+# is only requests between two steps of the engine.
+MAX_QUEUE_SHARE = 0.1
+MOSTLY_FAILING_SHARE = 0.5
 
 
 @dataclass(slots=True)
 class Run:
-    """One job at a server."""
+    """A job that runs at a server."""
 
     job: Job
     long: bool
@@ -44,14 +43,18 @@
 
 @dataclass(slots=True)
 class Server:
-    """A backend server and this VM's own work there."""
+    """A backend server and this VM's own load there.
+
+    ``tokens`` is the cost of this VM's running jobs; ``history`` holds times with the number and
+    cost of the jobs that ran then.
+    """
 
     spec: BackendServer
     limit: AdaptiveLimit
     runs: dict[int, Run] = field(default_factory=dict)
     tokens: float = 0.0
     long_runs: int = 0
-    others: PeerLoad = field(default_factory=PeerLoad)
+    peer_load: PeerLoad = field(default_factory=PeerLoad)
     report: LoadReport | None = None
     history: deque[tuple[int, int, float]] = field(default_factory=deque)
 
@@ -66,26 +69,26 @@
 
 
 class BackendTable:
-    """Every backend server of this region, with limits, health and own work in flight."""
+    """All backend servers of this region, with limits, health and this VM's load in flight."""
 
     def __init__(self, *, rng: random.Random) -> None:
         self._rng = rng
         self._servers: dict[str, Server] = {}
         self._pools: dict[str, tuple[str, ...]] = {}
-        self._sharing = 1
+        self._sender_count = 1
         self.health = HealthTable()
 
-    def configure(self, specs: Iterable[BackendServer], *, sharing: int) -> None:
+    def configure(self, specs: Iterable[BackendServer], *, sender_count: int) -> None:
         """Set the servers of this region and how many VMs send to them.
 
-        A server that is gone is forgotten once its last run has ended.
+        A server that is removed is forgotten once its last run has ended.
         """
-        self._sharing = max(1, sharing)
+        self._sender_count = max(1, sender_count)
         wanted = {spec.name: spec for spec in specs}
         for name, spec in wanted.items():
             known = self._servers.get(name)
             if known is None or known.spec.slots != spec.slots:
-                limit = AdaptiveLimit(slots=spec.slots, sharing=self._sharing)
+                limit = AdaptiveLimit(slots=spec.slots, sharing=self._sender_count)
                 self._servers.setdefault(name, Server(spec, limit)).limit = limit
             self._servers[name].spec = spec
         for name in [name for name in self._servers if name not in wanted]:
@@ -99,14 +102,14 @@
         self._pools = {served: tuple(names) for served, names in pools.items()}
 
     def pool(self, served: str) -> tuple[str, ...]:
-        """Return the servers of one model or service that take new work."""
-        return tuple(name for name in self._pools.get(served, ()) if self._open(name))
+        """Return the servers of one model or plain service that accept new work."""
+        return tuple(name for name in self._pools.get(served, ()) if self._accepts_work(name))
 
     def names(self) -> tuple[str, ...]:
-        """Return every server known."""
+        """Return all known servers."""
         return tuple(self._servers)
 
-    def heard(self, report: LoadReport) -> None:
+    def update_load(self, report: LoadReport) -> None:
         """Take a server's load report."""
         server = self._servers.get(report.backend)
         if server is None or (server.report and report.at_ms <= server.report.at_ms):
@@ -115,44 +118,47 @@
         as_of = report.at_ms - report.lag_ms
         requests, tokens = server.own_at(as_of)
         reported = report.running + report.waiting
-        server.others.update(reported - requests, report.tokens_in_flight - tokens, as_of)
-        if report.waiting > QUEUE_SHARE * server.spec.slots:
+        server.peer_load.update(reported - requests, report.tokens_in_flight - tokens, as_of)
+        if report.waiting > MAX_QUEUE_SHARE * server.spec.slots:
             server.limit.congested(report.at_ms)
 
     def capacity(self, served: str, now: int) -> float:
-        """Return the rated tokens a second of a pool, less what health takes off."""
+        """Return the rated tokens a second of a pool, weighted by health."""
         return sum(
             self._servers[name].spec.tokens_per_s * self.health.weight(name, now)
             for name in self.pool(served)
         )
 
     def all_failing(self, served: str, now: int) -> bool:
-        """Whether no server of a pool works, or there is none."""
+        """Return whether no server of a pool works, or there is none."""
         return self.health.all_failing(self.pool(served), now)
 
     def mostly_failing(self, served: str, now: int) -> bool:
-        """Whether half of a pool fails, so that a next attempt here would likely fail too."""
-        return self.health.failing_share(self.pool(served), now) >= MOSTLY
+        """Return whether half of a pool fails, so that another attempt would likely fail too."""
+        return self.health.failing_share(self.pool(served), now) >= MOSTLY_FAILING_SHARE
 
-    def next_try(self, served: str, now: int) -> float:
-        """Return ms until some server of a pool may get work."""
+    def ms_until_available(self, served: str, now: int) -> float:
+        """Return the time in ms until some server of a pool may get work."""
         return self.health.next_try(self.pool(served), now)
 
     def free_tokens(self, served: str, now: int, *, job_cost: float) -> float:
-        """Return how many tokens of ordinary jobs would start at once."""
+        """Return how many tokens of ordinary jobs would start at once.
+
+        :param job_cost: tokens of an ordinary job.
+        """
         slots = 0.0
         for name in self.pool(served):
             server = self._servers[name]
             if self.health.weight(name, now) <= 0:
                 continue
-            others, _ = server.others.at(now)
-            # Slots and not the adaptive limit, which stays low at a VM that sends little.
-            slots += max(0.0, server.spec.slots - len(server.runs) - others)
+            peer_requests, _ = server.peer_load.at(now)
+            # Slots and not the adaptive limit, which stays low on a VM that sends little.
+            slots += max(0.0, server.spec.slots - len(server.runs) - peer_requests)
         return slots * job_cost
 
     def has_slot(self, served: str, now: int, *, long: bool) -> bool:
-        """Whether some server would take a job now."""
-        return any(self._free(name, now, long=long) for name in self.pool(served))
+        """Return whether some server has a free slot for a job."""
+        return any(self._has_free_slot(name, now, long=long) for name in self.pool(served))
 
     def pick(
         self, job: Job, now: int, *, long: bool, tried: frozenset[str] = frozenset()
@@ -174,24 +180,26 @@
             rng=self._rng,
         )
 
-    def started(self, job: Job, name: str, now: int, *, long: bool) -> None:
-        """Count a job as running at a server."""
+    def record_start(self, job: Job, name: str, now: int, *, long: bool) -> None:
+        """Record the start of a job at a server."""
         server = self._servers[name]
         server.runs[job.id] = Run(job, long)
         server.tokens += job.cost
         server.long_runs += long
-        self.health.started(name, job.id, now, scale=1.0 + job.prompt_tokens / PROMPT_SCALE)
+        self.health.started(
+            name, job.id, now, scale=1.0 + job.prompt_tokens / DOUBLE_FIRST_TOKEN_PROMPT_TOKENS
+        )
 
-    def first_token(self, job: Job, name: str, now: int) -> float | None:
-        """Learn from a first token; returns its scaled time in ms."""
+    def record_first_token(self, job: Job, name: str, now: int) -> float | None:
+        """Record a first token, and return its time in ms, scaled to an empty prompt."""
         sample = self.health.first_token(name, job.id, now, self._pools.get(job.served, ()))
         server = self._servers.get(name)
         if sample is not None and server is not None:
             server.limit.first_token(sample, now, at_server=len(server.runs))
         return sample
 
-    def finished(self, job: Job, name: str, now: int, outcome: Outcome) -> None:
-        """Count a job as ended and learn from how."""
+    def record_end(self, job: Job, name: str, now: int, outcome: Outcome) -> None:
+        """Record the end of a job at a server and update health and limit by its outcome."""
         server = self._servers.get(name)
         run = server.runs.pop(job.id, None) if server is not None else None
         if server is None or run is None:
@@ -211,7 +219,7 @@
                 self.health.dropped(name, job.id)
 
     def tick(self, now: int) -> None:
-        """Judge health and keep history; to be called about ten times a second."""
+        """Update health states and history; to be called about ten times a second."""
         for served in self._pools:
             self.health.check(now, self.pool(served))
         for server in self._servers.values():
@@ -219,59 +227,60 @@
             while server.history and server.history[0][0] < now - HISTORY_MS:
                 server.history.popleft()
 
-    def overdue(self, now: int) -> list[tuple[Job, str]]:
-        """Return the jobs to recall from slow servers."""
+    def take_overdue_jobs(self, now: int) -> list[tuple[Job, str]]:
+        """Return, once each, the jobs to cancel at slow servers and run elsewhere."""
         return [
             (server.runs[job_id].job, name)
             for name, server in self._servers.items()
-            for job_id in self.health.overdue(name, now, self._peers_of(server))
+            for job_id in self.health.overdue(name, now, self._pool_of(server))
             if job_id in server.runs
         ]
 
     def limits(self) -> Mapping[str, int]:
-        """Return the present limit of each server."""
+        """Return the present limit of requests in flight at each server."""
         return {name: server.limit.allowed for name, server in self._servers.items()}
 
     def in_flight(self) -> Mapping[str, int]:
-        """Return this VM's requests at each server."""
+        """Return this VM's requests in flight at each server."""
         return {name: len(server.runs) for name, server in self._servers.items()}
 
-    def _peers_of(self, server: Server) -> tuple[str, ...]:
+    def _pool_of(self, server: Server) -> tuple[str, ...]:
         return self._pools.get(server.spec.serves[0], ()) if server.spec.serves else ()
 
-    def _open(self, name: str) -> bool:
+    def _accepts_work(self, name: str) -> bool:
         server = self._servers[name]
         return takes_new_work(server.spec, server.report)
 
     def _candidate(self, name: str, now: int, *, long: bool) -> Candidate:
         server = self._servers[name]
-        _, others = server.others.at(now)
+        _, peer_tokens = server.peer_load.at(now)
         weight = self.health.weight(name, now)
         return Candidate(
             name=name,
             speed=max(1e-6, server.spec.tokens_per_s * weight),
-            tokens=server.tokens + others,
-            free=self._free(name, now, long=long),
+            tokens=server.tokens + peer_tokens,
+            free=self._has_free_slot(name, now, long=long),
         )
 
-    def _free(self, name: str, now: int, *, long: bool) -> bool:
+    def _has_free_slot(self, name: str, now: int, *, long: bool) -> bool:
         server = self._servers[name]
         weight = self.health.weight(name, now)
         if weight <= 0 or self.health.is_resting(name, now):
             return False
         allowed = server.limit.allowed
-        mine = len(server.runs)
+        own_requests = len(server.runs)
         if weight < 1:
             allowed = max(1, int(allowed * weight))
         if self.health.is_suspect(name):
             allowed = 1
-        if mine >= allowed:
+        if own_requests >= allowed:
             return False
         if long and server.long_runs >= long_slots(allowed):
             return False
-        # A VM's equal share is its own whatever others report, or one that comes late to busy
-        # engines would never get a slot; the limit's decrease then makes the others yield.
-        if mine < server.spec.slots // self._sharing:
+        # A VM may always use its equal share, whatever load others have there. Otherwise a VM that
+        # joins while engines are busy would never get a slot; the other VMs then yield as their
+        # adaptive limits decrease.
+        if own_requests < server.spec.slots // self._sender_count:
             return True
-        others, _ = server.others.at(now)
-        return mine + others < server.spec.slots
+        peer_requests, _ = server.peer_load.at(now)
+        return own_requests + peer_requests < server.spec.slots
--- a/src/hickorybeam/policy/forecast.py
+++ b/src/hickorybeam/policy/forecast.py
@@ -7,7 +7,8 @@
 The rate is learned as an efficiency: tokens of cost drained for each token of rated capacity,
 over the time in which jobs were waiting. Reserved cost is mostly larger than what a job really
 uses, and other VMs share the engines, so the rated capacity alone is wrong by a factor either
-way. With capacity kept apart, the forecast follows at once when an engine is ejected or joins.
+way. With capacity kept apart, the forecast follows at once when an engine is ejected or joins,
+before anything is learned about the new size.
 """
 
 from __future__ import annotations
--- a/src/hickorybeam/policy/scheduler.py
+++ b/src/hickorybeam/policy/scheduler.py
@@ -1,7 +1,7 @@
-"""The decisions put together: whom to serve next, where, and whom to refuse.
+"""Decide which job runs next, on which server or in which region, and which is refused.
 
-One scheduler is the whole of a VM's load policy. It is told what happens (jobs, first
-tokens, ends, reports) with the time, and returns decisions; it reads no clock and does no
+One scheduler is the whole of a VM's load policy. It is called with each event (jobs, first
+tokens, ends, reports) and its time, and returns decisions; it reads no clock and does no
 I/O. The daemon's dispatch task and bench/load_policy.py both drive this same class.
 """
 
@@ -32,35 +32,39 @@
 
 __all__ = ("Scheduler",)
 
-# Waiting jobs are given up when the forecast passes their bound by this factor. Above 1,
-# because the forecast wavers by some tens of percent between bunches of starts, and a job
-# that was promised its turn should not lose it to noise.
+# Waiting jobs are shed when the backlog exceeds what drains within the maximum wait by this
+# factor. Above 1, because the forecast varies by some tens of percent between bunches of starts,
+# and a job that was admitted should not lose its turn to noise.
 SHED_FACTOR = 1.5
-FIRST_TOKEN_SHARE = 0.1
+# Weight of a new sample in the average time to the first token.
+FIRST_TOKEN_WEIGHT = 0.1
 
 
 @dataclass(slots=True)
 class Pool:
-    """What waits for one model or service."""
+    """The jobs that wait for one model or plain service.
+
+    ``first_token_ms`` is the average time to the first token, scaled to an empty prompt.
+    """
 
     served: str
     queue: FairQueue = field(default_factory=FairQueue)
-    drain: DrainRate = field(default_factory=DrainRate)
-    costs: RunningMedian = field(default_factory=RunningMedian)
-    first_token: float = 0.0
+    drain_rate: DrainRate = field(default_factory=DrainRate)
+    median_cost: RunningMedian = field(default_factory=RunningMedian)
+    first_token_ms: float = 0.0
 
     def is_long(self, job: Job) -> bool:
-        return is_long(job.cost, self.costs.value)
+        return is_long(job.cost, self.median_cost.value)
 
 
 class Scheduler:
     """The load policy of one entry VM.
 
     :param region: this VM's region.
-    :param profile: margins and bounds.
-    :param memory: bytes of request bodies this VM may hold.
+    :param profile: margins and limits.
+    :param memory: bytes of request bodies that this VM may hold.
     :param rng: source of every random choice, seeded by tests.
-    :param max_wait_ms: lowers the profile's bound on waits.
+    :param max_wait_ms: lowers the profile's limit on waits.
     """
 
     def __init__(
@@ -72,92 +76,95 @@
         rng: random.Random,
         max_wait_ms: int | None = None,
     ) -> None:
-        bounds = [profile.max_wait_ms]
+        limits = [profile.max_wait_ms]
         if max_wait_ms is not None:
-            bounds.append(max_wait_ms)
-        self._longest_wait = min(bounds)
+            limits.append(max_wait_ms)
+        self._max_wait_ms = min(limits)
         self._region = region
         self._rng = rng
         self._pools: dict[str, Pool] = {}
         self._running: dict[int, str] = {}
-        self._held: set[int] = set()
+        self._holding_memory: set[int] = set()
         self._memory = MemoryBound(memory)
         self.backends = BackendTable(rng=rng)
         self.regions = RegionChoice(here=region, profile=profile)
 
-    # What the VM learns of the world.
+    # Configuration and load reports.
 
     def configure(
         self, specs: Iterable[BackendServer], *, sharing: int, costs: dict[str, float]
     ) -> None:
-        """Set this region's backend servers, the VMs that share them, and region prices."""
-        self.backends.configure(specs, sharing=sharing)
+        """Set this region's backend servers, how many VMs share them, and region prices."""
+        self.backends.configure(specs, sender_count=sharing)
         self.regions.configure(costs=costs, senders=sharing)
 
     def update_backend_load(self, report: LoadReport) -> None:
         """Take a backend server's load report."""
-        self.backends.heard(report)
+        self.backends.update_load(report)
 
     def update_region_loads(self, loads: Iterable[RegionLoad]) -> None:
-        """Take other regions' summaries."""
+        """Take other regions' load reports."""
         for load in loads:
-            self.regions.update_loads((load,), job_cost=self._pool(load.served).costs.value or 1.0)
+            self.regions.update_loads(
+                (load,), job_cost=self._pool(load.served).median_cost.value or 1.0
+            )
 
-    # What happens to jobs.
+    # Jobs.
 
     def early_refusal(self, job: Job, now: int) -> Refuse | None:
-        """Return the refusal that ``offer`` would give, changing nothing.
+        """Return the refusal that ``offer`` would return, without changing anything.
 
-        Asked before an account's tokens are taken, so that under overload a refusal costs no
+        Called before an account's tokens are taken, so that under overload a refusal costs no
         call to the budget and no loan.
         """
         if not self._memory.fits(job.account, job.body_bytes):
             return self._refuse(job, ErrorKind.VM_FULL, Reason.MEMORY, 0.0, 0.0)
         pool = self._pool(job.served)
-        refusal = self._refusal_here(pool, job, now)
-        if refusal is None or self._elsewhere(job, now, math.inf) is not None:
+        refusal = self._local_refusal(pool, job, now)
+        if refusal is None or self._choose_region(job, now, math.inf) is not None:
             return None
         return refusal
 
     def offer(self, job: Job, now: int) -> Decision | None:
-        """Take a new job; ``None`` when it waits for ``poll`` to start it."""
+        """Accept a new job; return ``None`` if it waits for ``poll`` to start it."""
         if not self._memory.fits(job.account, job.body_bytes):
             return self._refuse(job, ErrorKind.VM_FULL, Reason.MEMORY, 0.0, 0.0)
         pool = self._pool(job.served)
-        pool.costs.add(job.cost)
-        refusal = self._refusal_here(pool, job, now)
+        pool.median_cost.add(job.cost)
+        refusal = self._local_refusal(pool, job, now)
         failing = self.backends.all_failing(job.served, now)
-        wait = math.inf if refusal is not None or failing else self.forecast(job, now)
-        region = self._elsewhere(job, now, wait)
+        wait = math.inf if refusal is not None or failing else self.expected_wait_ms(job, now)
+        region = self._choose_region(job, now, wait)
         if region is not None:
-            self._hold(job)
+            self._reserve_memory(job)
             return self._spill(pool, job, region, wait, now)
         if refusal is not None:
             return refusal
         self.regions.record_local(job)
         self._advance(pool, now)
-        self._hold(job)
+        self._reserve_memory(job)
         pool.queue.push(job, long=pool.is_long(job))
         return None
 
     def retry(self, job: Job, now: int, tried: frozenset[str]) -> Decision | None:
-        """Start a job again at another server, at once; ``None`` when there is none.
+        """Start a job again at another server, at once; return ``None`` if there is none.
+
+        It has waited its turn already, so it may exceed the adaptive limit.
 
-        It has waited its turn already. It may go above the adaptive limit but not to a
-        server that failed it.
+        :param tried: servers that failed it; it is not sent to them again.
         """
         pool = self._pool(job.served)
         if self.backends.mostly_failing(job.served, now):
-            region = self._elsewhere(job, now, math.inf)
+            region = self._choose_region(job, now, math.inf)
             if region is not None:
                 return self._spill(pool, job, region, math.inf, now)
         name = self.backends.pick(job, now, long=False, tried=tried)
         if name is None:
-            others = [other for other in self.backends.pool(job.served) if other not in tried]
-            serving = [o for o in others if self.backends.health.weight(o, now) > 0]
+            untried = [it for it in self.backends.pool(job.served) if it not in tried]
+            serving = [it for it in untried if self.backends.health.weight(it, now) > 0]
             name = self._rng.choice(serving) if serving else None
         if name is None:
-            region = self._elsewhere(job, now, math.inf)
+            region = self._choose_region(job, now, math.inf)
             return None if region is None else self._spill(pool, job, region, math.inf, now)
         return self._start(pool, job, name, now)
 
@@ -171,30 +178,33 @@
         return decisions
 
     def first_token(self, job: Job, backend: str, now: int) -> None:
-        """Note that an answer began."""
-        sample = self.backends.first_token(job, backend, now)
+        """Record the first token of a response."""
+        sample = self.backends.record_first_token(job, backend, now)
         if sample is not None:
             pool = self._pool(job.served)
-            pool.first_token += FIRST_TOKEN_SHARE * (sample - pool.first_token)
+            pool.first_token_ms += FIRST_TOKEN_WEIGHT * (sample - pool.first_token_ms)
 
     def run_ended(self, job: Job, backend: str, now: int, outcome: Outcome, used: int) -> None:
-        """Note that a started job ended, having used this many tokens."""
+        """Record the end of a run on a server.
+
+        :param used: tokens that the job used.
+        """
         if self._running.pop(job.id, None) is None:
             return
         self._pool(job.served).queue.settle(job.account, job.cost, used)
-        self.backends.finished(job, backend, now, outcome)
+        self.backends.record_end(job, backend, now, outcome)
 
     def call_ended(self, job: Job, now: int) -> None:
-        """Note that a call is over, however it ended; safe to call twice."""
+        """Release what a call holds, however it ended; safe to call twice."""
         pool = self._pool(job.served)
         self._advance(pool, now)
         pool.queue.remove(job.id)
-        if job.id in self._held:
-            self._held.discard(job.id)
+        if job.id in self._holding_memory:
+            self._holding_memory.discard(job.id)
             self._memory.release(job.account, job.body_bytes)
 
     def tick(self, now: int) -> list[Decision]:
-        """Judge health, give up what cannot run in time, and start what can.
+        """Update health states, drop jobs that cannot run in time, and start those that can.
 
         To be called about ten times a second.
         """
@@ -202,61 +212,59 @@
         decisions: list[Decision] = []
         for pool in self._pools.values():
             self._advance(pool, now)
-            for job, kind, reason in self._given_up(pool, now):
-                decisions.append(self._give_up(pool, job, kind, reason, now))
+            for job, kind, reason in self._jobs_to_drop(pool, now):
+                decisions.append(self._drop(pool, job, kind, reason, now))
             self._spill_waiting(pool, now, decisions)
         decisions.extend(self.poll(now))
         return decisions
 
     def recalls(self, now: int) -> list[Recall]:
-        """Return the jobs to take back from slow servers, after ``tick``."""
-        return [Recall(job, name) for job, name in self.backends.overdue(now)]
+        """Return the jobs to cancel at slow servers and run elsewhere; called after ``tick``."""
+        return [Recall(job, name) for job, name in self.backends.take_overdue_jobs(now)]
 
-    # What the VM tells others.
+    # Forecasts.
 
-    def forecast(self, job: Job, now: int) -> float:
-        """Return the wait in ms that a new job would have here."""
+    def expected_wait_ms(self, job: Job, now: int) -> float:
+        """Return the expected wait of a new job here."""
         pool = self._pool(job.served)
         if not len(pool.queue) and self.backends.has_slot(job.served, now, long=pool.is_long(job)):
             return 0.0
         capacity = self.backends.capacity(job.served, now)
         ahead = pool.queue.tokens_ahead(job.account, job.weight) + job.cost
-        drained = pool.drain.wait_ms(ahead, capacity)
-        return max(drained, self.backends.next_try(job.served, now))
+        drained = pool.drain_rate.wait_ms(ahead, capacity)
+        return max(drained, self.backends.ms_until_available(job.served, now))
 
     def region_load(self, served: str, now: int) -> RegionLoad:
-        """Return this region's summary for others, as this VM sees it."""
+        """Return this region's load report for the others, as this VM sees it."""
         pool = self._pool(served)
         capacity = self.backends.capacity(served, now)
-        unit = pool.costs.value or 1.0
+        job_cost = pool.median_cost.value or 1.0
         failing = self.backends.all_failing(served, now)
-        wait = math.inf if failing else pool.drain.wait_ms(pool.queue.backlog, capacity)
-        free = 0.0 if failing else self.backends.free_tokens(served, now, job_cost=unit)
+        wait = math.inf if failing else pool.drain_rate.wait_ms(pool.queue.backlog, capacity)
+        free = 0.0 if failing else self.backends.free_tokens(served, now, job_cost=job_cost)
         return RegionLoad(
             region=self._region,
             served=served,
-            wait_ms=wait if math.isfinite(wait) else float(self._longest_wait * 10),
+            wait_ms=wait if math.isfinite(wait) else float(self._max_wait_ms * 10),
             free_tokens=max(0.0, free - pool.queue.backlog),
             at_ms=now,
         )
 
     def is_long(self, job: Job) -> bool:
-        """Whether a job counts as long among those seen so far."""
+        """Return whether a job counts as long among those so far."""
         return self._pool(job.served).is_long(job)
 
     def waiting(self) -> dict[str, tuple[int, float]]:
-        """Return jobs and tokens that wait, by model or service."""
+        """Return the number of waiting jobs and their tokens, by model or plain service."""
         return {name: (len(pool.queue), pool.queue.backlog) for name, pool in self._pools.items()}
 
     @property
     def memory_held(self) -> int:
-        """Bytes of request bodies held."""
+        """Bytes of request bodies that this VM holds."""
         return self._memory.held
 
-    # How.
-
-    def _hold(self, job: Job) -> None:
-        self._held.add(job.id)
+    def _reserve_memory(self, job: Job) -> None:
+        self._holding_memory.add(job.id)
         self._memory.hold(job.account, job.body_bytes)
 
     def _pool(self, served: str) -> Pool:
@@ -267,19 +275,19 @@
 
     def _advance(self, pool: Pool, now: int) -> None:
         capacity = self.backends.capacity(pool.served, now)
-        pool.drain.advance(now, capacity=capacity, waiting=len(pool.queue) > 0)
+        pool.drain_rate.advance(now, capacity=capacity, waiting=len(pool.queue) > 0)
 
     def _bound(self, pool: Pool, job: Job, now: int) -> WaitBound:
         return WaitBound(
-            longest=float(self._longest_wait - (now - job.arrived_ms)),
+            longest=float(self._max_wait_ms - (now - job.arrived_ms)),
             left=float(job.deadline_ms - now),
-            first_token=pool.first_token,
+            first_token=pool.first_token_ms,
         )
 
-    def _refusal_here(self, pool: Pool, job: Job, now: int) -> Refuse | None:
+    def _local_refusal(self, pool: Pool, job: Job, now: int) -> Refuse | None:
         if not self.backends.pool(job.served) or self._region not in job.regions:
             return self._refuse(job, ErrorKind.NO_BACKEND, Reason.NO_BACKEND, math.inf, 0.0)
-        wait = self.forecast(job, now)
+        wait = self.expected_wait_ms(job, now)
         bound = self._bound(pool, job, now)
         if wait <= bound.ms:
             return None
@@ -293,7 +301,7 @@
     ) -> Refuse:
         return Refuse(job, kind, reason, retry_after_ms(wait, bound, self._rng))
 
-    def _elsewhere(self, job: Job, now: int, wait: float) -> str | None:
+    def _choose_region(self, job: Job, now: int, wait: float) -> str | None:
         if not job.may_spill or wait <= 0:
             return None
         return self.regions.choose(job, local_wait_ms=wait, now=now)
@@ -304,14 +312,14 @@
         return Spill(job, region, self.regions.spill_reason(wait, served_here=served_here))
 
     def _spill_waiting(self, pool: Pool, now: int, decisions: list[Decision]) -> None:
-        """Send jobs that wait elsewhere, since quotas are renewed while they wait.
+        """Send waiting jobs to other regions, whose quotas are renewed while the jobs wait.
 
-        The latest job of the largest backlog goes, which has the longest wait ahead of it.
+        The latest job of the largest backlog goes, since it has the longest wait ahead of it.
         """
         failing = self.backends.all_failing(pool.served, now)
         while (job := pool.queue.last_job()) is not None:
-            wait = math.inf if failing else self.forecast(job, now)
-            region = self._elsewhere(job, now, wait)
+            wait = math.inf if failing else self.expected_wait_ms(job, now)
+            region = self._choose_region(job, now, wait)
             if region is None:
                 return
             pool.queue.remove(job.id)
@@ -326,19 +334,19 @@
                 return
             backend = self.backends.pick(job, now, long=pool.is_long(job))
             if backend is None:
-                # The median moved since the job was queued and it counts as long only now.
+                # The median moved since the job was queued, and it counts as long only now.
                 backend = self.backends.pick(job, now, long=False)
             assert backend is not None
             if job.arrived_ms < now or len(pool.queue):
-                pool.drain.record_drained(job.cost)
+                pool.drain_rate.record_drained(job.cost)
             decisions.append(self._start(pool, job, backend, now))
 
     def _start(self, pool: Pool, job: Job, backend: str, now: int) -> Start:
-        self.backends.started(job, backend, now, long=pool.is_long(job))
+        self.backends.record_start(job, backend, now, long=pool.is_long(job))
         self._running[job.id] = backend
         return Start(job, backend)
 
-    def _given_up(self, pool: Pool, now: int) -> list[tuple[Job, ErrorKind, Reason]]:
+    def _jobs_to_drop(self, pool: Pool, now: int) -> list[tuple[Job, ErrorKind, Reason]]:
         late = [
             (job, ErrorKind.DEADLINE, Reason.DEADLINE)
             if bound.deadline_decides
@@ -351,15 +359,15 @@
         if not self.backends.pool(pool.served):
             return [(job, ErrorKind.NO_BACKEND, Reason.NO_BACKEND) for job in pool.queue.jobs()]
         capacity = self.backends.capacity(pool.served, now)
-        keep = pool.drain.per_second(capacity) * self._longest_wait * SHED_FACTOR / 1000
+        keep = pool.drain_rate.per_second(capacity) * self._max_wait_ms * SHED_FACTOR / 1000
         shed = excess_jobs(pool.queue, keep=keep)
         return [(job, ErrorKind.OVERLOADED, Reason.SHED) for job in shed]
 
-    def _give_up(self, pool: Pool, job: Job, kind: ErrorKind, reason: Reason, now: int) -> Decision:
+    def _drop(self, pool: Pool, job: Job, kind: ErrorKind, reason: Reason, now: int) -> Decision:
         pool.queue.remove(job.id)
-        region = self._elsewhere(job, now, math.inf)
+        region = self._choose_region(job, now, math.inf)
         if region is not None and job.deadline_ms > now:
             return self._spill(pool, job, region, math.inf, now)
         capacity = self.backends.capacity(pool.served, now)
-        wait = pool.drain.wait_ms(pool.queue.backlog, capacity)
-        return self._refuse(job, kind, reason, wait, float(self._longest_wait))
+        wait = pool.drain_rate.wait_ms(pool.queue.backlog, capacity)
+        return self._refuse(job, kind, reason, wait, float(self._max_wait_ms))
