--- a/bench/placing_cost.py
+++ b/bench/placing_cost.py
@@ -14,16 +14,16 @@
 import msgspec
 
 from hickorybeam.clock import SystemClock
-from hickorybeam.gateway.fleet import Word
-from hickorybeam.gateway.grants import Grants
-from hickorybeam.gateway.knowledge import Knowledge
-from hickorybeam.gateway.line import Lines
-from hickorybeam.gateway.place_words import Ending, Told, Wanted
-from hickorybeam.gateway.placing import Placing
-from hickorybeam.gateway.queueing import Queueing
+from hickorybeam.gateway.fleet import PeerMessage
+from hickorybeam.gateway.local_placement import LocalPlacement
+from hickorybeam.gateway.placement_coordinator import PlacementCoordinator
+from hickorybeam.gateway.placement_messages import PlacementRequest, PlacementUpdate, SendStatus
+from hickorybeam.gateway.routing_state import RoutingState
+from hickorybeam.gateway.service_queue import ServiceQueues
+from hickorybeam.gateway.target_selector import TargetSelector
 from hickorybeam.model.routing import RegisteredServer
 from hickorybeam.policy.prefix_holders import PrefixHolders
-from hickorybeam.policy.shutdown import Shutdown
+from hickorybeam.policy.shutdown import ShutdownSchedule
 
 SERVERS = (12, 35, 67, 200)
 PROMPTS = 2_000
@@ -39,7 +39,7 @@
 
 
 def cost_ms(servers: int) -> float:
-    clock, knowledge = SystemClock(), Knowledge()
+    clock, routing_state = SystemClock(), RoutingState()
     for number in range(servers):
         server = RegisteredServer(
             id=f"i-{number:010x}",
@@ -49,36 +49,44 @@
             data_centre="d",
             slots=SLOTS,
         )
-        knowledge.take_server(server, clock.now())
+        routing_state.update_server(server, clock.now())
     fleet = SimpleNamespace(
-        me=SimpleNamespace(name="v0", region="r", data_centre="d"),
-        holders=PrefixHolders(),
-        is_here=lambda data_centre: True,
-        region_lag_ms=0.0,
-        who_places=SimpleNamespace(
-            places=lambda service: True, warming=lambda server: [], serving=lambda: ["v0"]
+        own_vm=SimpleNamespace(name="v0", region="r", data_centre="d"),
+        prefix_holders=PrefixHolders(),
+        in_own_region=lambda data_centre: True,
+        report_lag_ms=0.0,
+        coordinators=SimpleNamespace(
+            is_coordinator=lambda service: True,
+            cold_server_senders=lambda server: [],
+            serving_vms=lambda: ["v0"],
         ),
-        elsewhere=lambda service, leaving=False: [],
-        say=lambda vm, word: msgspec.msgpack.encode(word),
+        remote_candidates=lambda service, leaving=False: [],
+        send_message=lambda vm, word: msgspec.msgpack.encode(word),
     )
-    lines = Lines(clock)
-    placing = Placing(
-        shutdown=Shutdown(8_000), clock=clock, knowledge=knowledge, fleet=fleet, lines=lines
+    lines = ServiceQueues(clock)
+    placing = TargetSelector(
+        shutdown=ShutdownSchedule(8_000),
+        clock=clock,
+        routing_state=routing_state,
+        fleet=fleet,
+        queues=lines,
+    )
+    queueing = LocalPlacement(clock=clock, queues=lines, selector=placing)
+    grants = PlacementCoordinator(
+        clock=clock, fleet=fleet, selector=placing, local_placement=queueing
     )
-    queueing = Queueing(clock=clock, lines=lines, placing=placing)
-    grants = Grants(clock=clock, fleet=fleet, placing=placing, queueing=queueing)
     words = [msgspec.msgpack.encode(question(number)) for number in range(PROMPTS)]
     began = time.process_time()
     for number, word in enumerate(words):
-        grants.wanted(msgspec.msgpack.decode(word, type=Word))
-        for ending in (Ending.READ, Ending.ANSWERED):
-            told = msgspec.msgpack.encode(Told("v1", [(number, ending)]))
-            grants.told(msgspec.msgpack.decode(told, type=Word))
+        grants.handle_request(msgspec.msgpack.decode(word, type=PeerMessage))
+        for ending in (SendStatus.READ, SendStatus.ANSWERED):
+            told = msgspec.msgpack.encode(PlacementUpdate("v1", [(number, ending)]))
+            grants.handle_update(msgspec.msgpack.decode(told, type=PeerMessage))
     return (time.process_time() - began) * 1_000 / PROMPTS
 
 
-def question(number: int) -> Wanted:
-    return Wanted(
+def question(number: int) -> PlacementRequest:
+    return PlacementRequest(
         vm="v1",
         number=number,
         service="m",
--- /dev/null
+++ b/src/hickorybeam/http1/response_writer.py
@@ -0,0 +1,112 @@
+"""Writer of the response to one request, used by the request's handler."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from hickorybeam.http1.head import response_head_bytes
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from hickorybeam.http1.head import RawHeaders
+    from hickorybeam.http1.server import CallerConnection
+
+__all__ = ("ResponseWriter",)
+
+LAST_CHUNK = b"0\r\n\r\n"
+
+
+class ResponseWriter:
+    """Writes the response to one request: complete, or as a head and chunks.
+
+    Writes nothing after the caller has disconnected; ``is_disconnected`` is set then.
+    """
+
+    __slots__ = (
+        "_close",
+        "_conn",
+        "_head_only",
+        "_on_disconnect",
+        "done",
+        "is_disconnected",
+        "started",
+    )
+
+    def __init__(self, conn: CallerConnection, *, close: bool, head_only: bool) -> None:
+        self._conn = conn
+        self._close = close
+        self._head_only = head_only
+        self._on_disconnect: Callable[[], None] | None = None
+        self.started = False
+        self.done = False
+        self.is_disconnected = False
+
+    def on_disconnect(self, callback: Callable[[], None] | None) -> None:
+        """Call ``callback`` once if the caller disconnects before its response is complete."""
+        self._on_disconnect = callback
+        if self.is_disconnected and callback is not None:
+            callback()
+
+    def close_after(self) -> None:
+        """Close the connection after this response."""
+        self._close = True
+
+    def send(
+        self, status: int, headers: RawHeaders = (), body: bytes = b"", *, close: bool = False
+    ) -> None:
+        """Send a complete response."""
+        close = close or self._close or self._conn.server.closing
+        head = response_head_bytes(status, headers, length=len(body), close=close)
+        self.started = True
+        self._conn.write(head if self._head_only else head + body)
+        self._finish(close=close)
+
+    def start(self, status: int, headers: RawHeaders) -> None:
+        """Send the head of a response whose body follows in chunks."""
+        self._close = self._close or self._conn.server.closing
+        self._conn.write(response_head_bytes(status, headers, length=None, close=self._close))
+        self.started = True
+
+    async def send_chunk(self, data: bytes) -> None:
+        """Send a chunk of the body, and wait while the caller's buffer is full."""
+        if data and not self._head_only:
+            self._conn.write(b"%x\r\n%s\r\n" % (len(data), data))
+            await self._conn.wait_writable()
+
+    def end(self) -> None:
+        """Send the last chunk, which ends the body."""
+        if not self._head_only:
+            self._conn.write(LAST_CHUNK)
+        self._finish(close=self._close)
+
+    def abort(self) -> None:
+        """Abort the connection, so that the response cannot look complete."""
+        self.done = True
+        self._conn.abort()
+
+    def send_raw(self, data: bytes) -> None:
+        """Send raw bytes; for stand-ins of servers with malformed responses."""
+        self.started = True
+        self._conn.write(data)
+
+    def reset(self) -> None:
+        """Reset the connection; for stand-ins of servers that crash."""
+        self.done = True
+        self._conn.reset()
+
+    def end_by_close(self) -> None:
+        """End the response by closing the connection in order."""
+        self._finish(close=True)
+
+    def connection_lost(self) -> None:
+        """Record that the connection has ended, and call the callback."""
+        if self.done or self.is_disconnected:
+            return
+        self.is_disconnected = True
+        if self._on_disconnect is not None:
+            self._on_disconnect()
+
+    def _finish(self, *, close: bool) -> None:
+        self.done = True
+        self._conn.end_response(close=close)
--- /dev/null
+++ b/src/hickorybeam/platform/responses.py
@@ -0,0 +1,91 @@
+"""Decode backend servers' responses and choose the headers that the caller gets."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from typing import TYPE_CHECKING
+
+from hickorybeam.http1 import find_header
+from hickorybeam.platform import names
+
+if TYPE_CHECKING:
+    from hickorybeam.http1 import RawHeaders, ResponseHead
+
+__all__ = ("ResponseInfo", "ServerLoad", "decode_response", "refusal_headers", "response_headers")
+
+MISDIRECTED = 421
+# A caller takes these to mean that the request was not run. Only the gateway, or a server that
+# states it, may use them.
+NOT_RUN_STATUSES = (408, 421, 429, 503)
+
+
+@dataclass(frozen=True, slots=True)
+class ServerLoad:
+    """Load that a backend server reports: running requests, waiting requests, and its slots."""
+
+    running: int
+    waiting: int
+    slots: int
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class ResponseInfo:
+    """The decoded head of a backend server's response.
+
+    ``not_run``: the server states that it did not run the request. ``implies_not_run``: the status
+    would tell the caller so. ``signed``: the response comes from the server itself.
+    """
+
+    status: int
+    signed: bool
+    not_run: bool
+    misdirected: bool
+    implies_not_run: bool
+    load: ServerLoad | None
+    cold_ms: int | None
+    streamed: bool
+
+
+def decode_response(head: ResponseHead) -> ResponseInfo:
+    """Decode the head of a response."""
+    headers = head.headers
+    misdirected = head.status == MISDIRECTED
+    return ResponseInfo(
+        status=head.status,
+        signed=bool(find_header(headers, names.SIGNATURE)),
+        not_run=misdirected or find_header(headers, names.NOT_RUN) is not None,
+        misdirected=misdirected,
+        implies_not_run=head.status in NOT_RUN_STATUSES,
+        load=decode_load(find_header(headers, names.LOAD)),
+        cold_ms=decode_cold(find_header(headers, names.COLD)),
+        streamed=(find_header(headers, b"content-type") or b"").startswith(b"text/event-stream"),
+    )
+
+
+def decode_load(value: bytes | None) -> ServerLoad | None:
+    """Decode the load that a server reports, if it reports a valid one."""
+    figures = [part.strip() for part in (value or b"").split(b",")]
+    if len(figures) != 3 or not all(figure.isdigit() for figure in figures):
+        return None
+    running, waiting, slots = map(int, figures)
+    return ServerLoad(running, waiting, slots)
+
+
+def decode_cold(value: bytes | None) -> int | None:
+    """Decode how long a server stays cold, in ms."""
+    digits = (value or b"").strip()
+    return int(digits) if digits.isdigit() else None
+
+
+def response_headers(headers: RawHeaders) -> RawHeaders:
+    """Drop hop-by-hop headers and those meant for the gateway only."""
+    dropped = names.HOP_BY_HOP | {names.LOAD, names.COLD}
+    return tuple(pair for pair in headers if pair[0] not in dropped)
+
+
+def refusal_headers(request_id: str, *, retry_after_ms: int | None) -> RawHeaders:
+    """Return the headers of a refusal by the gateway itself."""
+    headers = [(names.REQUEST_ID, request_id.encode("latin-1"))] if request_id else []
+    if retry_after_ms is not None:
+        headers.append((names.RETRY_AFTER, b"%.3f" % (retry_after_ms / 1000)))
+    return tuple(headers)
--- a/src/hickorybeam/policy/scheduler.py
+++ b/src/hickorybeam/policy/scheduler.py
@@ -13,14 +13,14 @@
 
 from hickorybeam.errors import ErrorKind
 from hickorybeam.model import RegionLoad
-from hickorybeam.policy.admission import WaitBound, retry_after_ms
+from hickorybeam.policy.admission import WaitLimit, retry_after_ms
 from hickorybeam.policy.backend_table import BackendTable
-from hickorybeam.policy.concurrency import is_long
+from hickorybeam.policy.concurrency import is_long_job
 from hickorybeam.policy.fair_queue import FairQueue
 from hickorybeam.policy.forecast import DrainRate, RunningMedian
 from hickorybeam.policy.job import Decision, Outcome, Reason, Recall, Refuse, Spill, Start
 from hickorybeam.policy.region_choice import RegionChoice
-from hickorybeam.policy.shedding import MemoryBound, excess_jobs
+from hickorybeam.policy.shedding import BodyMemoryLimit, jobs_to_shed
 
 if TYPE_CHECKING:
     import random
@@ -54,7 +54,7 @@
     first_token_ms: float = 0.0
 
     def is_long(self, job: Job) -> bool:
-        return is_long(job.cost, self.median_cost.value)
+        return is_long_job(job.cost, self.median_cost.value)
 
 
 class Scheduler:
@@ -85,7 +85,7 @@
         self._pools: dict[str, Pool] = {}
         self._running: dict[int, str] = {}
         self._holding_memory: set[int] = set()
-        self._memory = MemoryBound(memory)
+        self._memory = BodyMemoryLimit(memory)
         self.backends = BackendTable(rng=rng)
         self.regions = RegionChoice(here=region, profile=profile)
 
@@ -265,7 +265,7 @@
 
     def _reserve_memory(self, job: Job) -> None:
         self._holding_memory.add(job.id)
-        self._memory.hold(job.account, job.body_bytes)
+        self._memory.reserve(job.account, job.body_bytes)
 
     def _pool(self, served: str) -> Pool:
         found = self._pools.get(served)
@@ -277,11 +277,11 @@
         capacity = self.backends.capacity(pool.served, now)
         pool.drain_rate.advance(now, capacity=capacity, waiting=len(pool.queue) > 0)
 
-    def _bound(self, pool: Pool, job: Job, now: int) -> WaitBound:
-        return WaitBound(
-            longest=float(self._max_wait_ms - (now - job.arrived_ms)),
-            left=float(job.deadline_ms - now),
-            first_token=pool.first_token_ms,
+    def _bound(self, pool: Pool, job: Job, now: int) -> WaitLimit:
+        return WaitLimit(
+            max_wait_ms=float(self._max_wait_ms - (now - job.arrived_ms)),
+            remaining_ms=float(job.deadline_ms - now),
+            first_token_ms=pool.first_token_ms,
         )
 
     def _local_refusal(self, pool: Pool, job: Job, now: int) -> Refuse | None:
@@ -291,9 +291,9 @@
         bound = self._bound(pool, job, now)
         if wait <= bound.ms:
             return None
-        if bound.deadline_decides and bound.ms < 0:
+        if bound.limited_by_deadline and bound.ms < 0:
             return self._refuse(job, ErrorKind.DEADLINE, Reason.DEADLINE, wait, bound.ms)
-        reason = Reason.DEADLINE if bound.deadline_decides else Reason.WAIT
+        reason = Reason.DEADLINE if bound.limited_by_deadline else Reason.WAIT
         return self._refuse(job, ErrorKind.OVERLOADED, reason, wait, bound.ms)
 
     def _refuse(
@@ -349,7 +349,7 @@
     def _jobs_to_drop(self, pool: Pool, now: int) -> list[tuple[Job, ErrorKind, Reason]]:
         late = [
             (job, ErrorKind.DEADLINE, Reason.DEADLINE)
-            if bound.deadline_decides
+            if bound.limited_by_deadline
             else (job, ErrorKind.OVERLOADED, Reason.WAIT)
             for job in pool.queue.jobs()
             if (bound := self._bound(pool, job, now)).ms < 0
@@ -360,7 +360,7 @@
             return [(job, ErrorKind.NO_BACKEND, Reason.NO_BACKEND) for job in pool.queue.jobs()]
         capacity = self.backends.capacity(pool.served, now)
         keep = pool.drain_rate.per_second(capacity) * self._max_wait_ms * SHED_FACTOR / 1000
-        shed = excess_jobs(pool.queue, keep=keep)
+        shed = jobs_to_shed(pool.queue, max_backlog_tokens=keep)
         return [(job, ErrorKind.OVERLOADED, Reason.SHED) for job in shed]
 
     def _drop(self, pool: Pool, job: Job, kind: ErrorKind, reason: Reason, now: int) -> Decision:
--- a/tests/steps/gateway/gateway_steps.py
+++ b/tests/steps/gateway/gateway_steps.py
@@ -15,11 +15,11 @@
 from hickorybeam.errors import ErrorKind, GatewayError
 from hickorybeam.gateway.reload import SettingsFile
 from hickorybeam.http1.head import request_bytes
-from hickorybeam.policy.attempt_budget import RepeatBounds
+from hickorybeam.policy.fleet_retry_budget import FleetRetryLimits
 from hickorybeam.settings import load_settings
 from hickorybeam.standins.deployment import HOST, KEYS, caller_headers, first_config
 from hickorybeam.store import KeyValue, Put, WatchBatch
-from support.gateway import drop_key, ran, small_gateway, withdraw_key
+from support.gateway import executed_requests, remove_account, small_gateway, withdraw_key
 
 BODY = b"{}"
 
@@ -273,12 +273,14 @@
 
 @then("no server ran anything")
 def step_none_ran(context):
-    assert ran(context.rig) == []
+    assert executed_requests(context.rig) == []
 
 
 @then('"{service}" ran {count:d} requests')
 def step_ran(context, service, count):
-    assert len(ran(context.rig, service)) == count, ran(context.rig, service)
+    assert len(executed_requests(context.rig, service)) == count, executed_requests(
+        context.rig, service
+    )
 
 
 @then('server "{name}" ran {count:d} requests')
@@ -293,7 +295,7 @@
 
 @then('the server was told account "{name}" once and no key')
 def step_told(context, name):
-    headers = ran(context.rig)[0].headers
+    headers = executed_requests(context.rig)[0].headers
     told = [value for key, value in headers if key == b"x-hickorybeam-tenant"]
     assert told == [name.encode()], told
     assert not any(key == b"authorization" for key, _ in headers)
@@ -334,7 +336,9 @@
         rig = context.rig
         rig.app.put(f"op/evacuate/{data_centre}", b"{}")
         await rig.until(
-            lambda: all(data_centre in vm.knowledge.evacuated for vm in rig.vms.values())
+            lambda: all(
+                data_centre in vm.routing_state.evacuated_data_centres for vm in rig.vms.values()
+            )
         )
 
     context.call(evacuate)
@@ -345,7 +349,9 @@
     async def back():
         rig = context.rig
         rig.app.delete(f"op/evacuate/{data_centre}")
-        await rig.until(lambda: not any(vm.knowledge.evacuated for vm in rig.vms.values()))
+        await rig.until(
+            lambda: not any(vm.routing_state.evacuated_data_centres for vm in rig.vms.values())
+        )
 
     context.call(back)
 
@@ -356,7 +362,9 @@
         rig = context.rig
         rig.servers[name].register(state="draining")
         await rig.until(
-            lambda: all(vm.knowledge.standings[name].server.leaving for vm in rig.vms.values())
+            lambda: all(
+                vm.routing_state.server_states[name].server.leaving for vm in rig.vms.values()
+            )
         )
 
     context.call(leaving)
@@ -369,7 +377,7 @@
         rig.servers[name].register(cold_ms=ms, born=77)
         await rig.until(
             lambda: all(
-                vm.knowledge.standings[name].server.born_ms == 77 for vm in rig.vms.values()
+                vm.routing_state.server_states[name].server.born_ms == 77 for vm in rig.vms.values()
             )
         )
 
@@ -435,7 +443,7 @@
     async def older():
         config = {**first_config(), "version": version}
         item = KeyValue("op/config", msgspec.json.encode(config), 1_000_000)
-        context.rig.vms[vm].feed._learn(WatchBatch(1_000_000, (item,)))
+        context.rig.vms[vm].feed._receive(WatchBatch(1_000_000, (item,)))
 
     context.call(older)
 
@@ -445,7 +453,7 @@
     async def compact():
         rig = context.rig
         store = rig.app.stand_in.store
-        drop_key(rig, name)
+        remove_account(rig, name)
         # Written with no word to the watches, as while they hear nothing.
         store.txn((), (Put("op/config", msgspec.json.encode(rig.config)),))
         store.compact()
@@ -462,7 +470,7 @@
     address = f"localhost:{rig.vms[seed].ports.state}"
     manager = rig.vm(name, "north-1", seeds=(address,))
     vm = context.stack.enter_context(context.portal.wrap_async_context_manager(manager))
-    context.call(rig.until, lambda: vm.knowledge.config is not None)
+    context.call(rig.until, lambda: vm.routing_state.config is not None)
 
 
 @then('"{vm}" is not ready')
@@ -478,7 +486,7 @@
         rig = context.rig
         rig.app.stand_in.faults.set_out(True)
         vms = rig.vms.values()
-        await rig.until(lambda: not any(vm.feed._store_ok for vm in vms))
+        await rig.until(lambda: not any(vm.feed._store_reachable for vm in vms))
         rig.servers[name].withdraw()
 
     context.call(lapse)
@@ -489,7 +497,7 @@
     async def out():
         rig = context.rig
         rig.app.stand_in.faults.set_out(True)
-        await rig.until(lambda: not any(vm.feed.follows for vm in rig.vms.values()))
+        await rig.until(lambda: not any(vm.feed.watches_store for vm in rig.vms.values()))
 
     context.call(out)
 
@@ -505,7 +513,7 @@
 
     async def known():
         await context.rig.until(
-            lambda: all(vm.knowledge.is_cold(name, clock.now()) for vm in vms), limit_s=limit
+            lambda: all(vm.routing_state.is_cold(name, clock.now()) for vm in vms), limit_s=limit
         )
 
     context.call(known)
@@ -521,15 +529,17 @@
     async def back():
         rig = context.rig
         rig.app.stand_in.faults.set_out(False)
-        await rig.until(lambda: all(vm.feed._store_ok for vm in rig.vms.values()))
+        await rig.until(lambda: all(vm.feed._store_reachable for vm in rig.vms.values()))
 
     context.call(back)
 
 
 @then('"{vm}" drops server "{name}" within {limit:d} s')
 def step_drops(context, vm, name, limit):
-    knowledge = context.rig.vms[vm].knowledge
-    context.call(lambda: context.rig.until(lambda: name not in knowledge.standings, limit_s=limit))
+    routing_state = context.rig.vms[vm].routing_state
+    context.call(
+        lambda: context.rig.until(lambda: name not in routing_state.server_states, limit_s=limit)
+    )
 
 
 @when('the registration of "{vm}" lapses')
@@ -630,7 +640,7 @@
 @then('at most {limit:d} tokens of "{name}" ran')
 def step_spent(context, limit, name):
     name_header = (b"x-hickorybeam-tenant", name.encode())
-    of_account = [it for it in ran(context.rig, "model") if name_header in it.headers]
+    of_account = [it for it in executed_requests(context.rig, "model") if name_header in it.headers]
     spent = len(of_account) * context.tokens
     assert 0 < spent <= limit, spent
 
@@ -682,7 +692,7 @@
         answered += reply.status == 200
     # What ran was answered: no connection was closed on a request that a server had.
     assert answered > 0
-    assert len(ran(context.rig, "books")) == answered
+    assert len(executed_requests(context.rig, "books")) == answered
 
 
 @when('a caller of "{key}" asks "{vm}" for a prompt of parts "{parts}"')
@@ -708,14 +718,14 @@
 
 @then("no server got the prompt")
 def step_no_server(context):
-    assert not ran(context.rig, "model")
+    assert not executed_requests(context.rig, "model")
     assert not any(it.arrivals for it in context.rig.servers.values() if it.service == "model")
 
 
 @when("the VMs have told each other")
 def step_told_other(context):
     vm = context.rig.vms["s1"]
-    context.call(context.rig.until, lambda: vm.fleet.holders._holders)
+    context.call(context.rig.until, lambda: vm.fleet.prefix_holders._holders)
 
 
 def copied_from(context, server):
@@ -740,7 +750,7 @@
         rig = context.rig
         # New watches work: the one that waits now hears nothing more.
         rig.app.deaf_watches = 1
-        rig.vms[vm].feed._watching.cancel()
+        rig.vms[vm].feed._follow_scope.cancel()
         await rig.until(lambda: rig.app.deaf_watches == 0)
         withdraw_key(rig, name)
 
@@ -768,9 +778,9 @@
 @when('a caller of "{key}" asks "{vm}" for "{path}" within {limit:d} s of that')
 def step_ask_within(context, key, vm, path, limit):
     version = context.rig.config["version"]
-    knowledge = context.rig.vms[vm].knowledge
+    routing_state = context.rig.vms[vm].routing_state
     context.call(
-        lambda: context.rig.until(lambda: knowledge.config.version == version, limit_s=limit)
+        lambda: context.rig.until(lambda: routing_state.config.version == version, limit_s=limit)
     )
     ask(context, vm, path, key=key)
 
@@ -798,7 +808,7 @@
 
 
 def allowance_of(context):
-    return context.rig.vms["n1"].relay._path._cfg.repeat_allowance
+    return context.rig.vms["n1"].relay._handler._cfg.repeat_allowance
 
 
 @when('its settings file says "{line}" while a stream runs')
@@ -807,7 +817,7 @@
         rig = context.rig
         rig.servers["m1"].work_ms = 200
         async with anyio.create_task_group() as tg:
-            tg.start_soon(context.file.follow)
+            tg.start_soon(context.file.poll)
 
             async def stream():
                 context.stream = await rig.call(
@@ -828,7 +838,7 @@
 @when('its settings file says "{line}" and it reads it')
 def step_changed(context, line):
     write_settings(context, line)
-    context.call(context.file.read)
+    context.call(context.file.reload)
 
 
 @then("within {limit:d} s its repeats are bounded by {allowance:d}")
@@ -892,7 +902,7 @@
 @then('"{vm}" still hears {count:d} VMs')
 def step_hears(context, vm, count):
     fleet = context.rig.vms[vm].fleet
-    context.call(context.rig.until, lambda: fleet.heard() == count)
+    context.call(context.rig.until, lambda: fleet.live_vm_count() == count)
 
 
 @given('a small gateway over data centres with VMs "{first}" and "{second}" and a southern region')
@@ -909,7 +919,7 @@
 @then('within {limit:d} s every VM has charged {tokens:d} tokens of "{name}" to "{vm}"')
 def step_charged(context, limit, tokens, name, vm):
     rig = context.rig
-    life = f"{vm}/{rig.vms[vm].fleet.me.incarnation}"
+    life = f"{vm}/{rig.vms[vm].fleet.own_vm.incarnation}"
 
     def charged(other):
         known = other.fleet.quota._peers.get(life)
@@ -925,7 +935,7 @@
         rig = context.rig
         found = rig.vms[vm]
         context.ports = found.ports
-        path, forecasts = found.relay._path, found.relay._path.forecasts
+        path, forecasts = found.relay._handler, found.relay._handler.forecasts
 
         def fail():
             path.forecasts = forecasts
@@ -963,7 +973,7 @@
 )
 def step_gets_late(context, key, ms, status, path, vm):
     # Of the 4 s that it may take, from 1.2 s to 2 s it takes what ends before 3.6 s, then nothing.
-    admission = context.rig.vms[vm].relay._path._admission
+    admission = context.rig.vms[vm].relay._handler._admission
     options = {"method": "POST", "body": BODY, "tokens": b"50,10"} if "chat" in path else {}
 
     async def ask_late():
@@ -978,7 +988,7 @@
 
 @then('no request of service "{service}" ran')
 def step_service_idle(context, service):
-    assert not ran(context.rig, service), ran(context.rig, service)
+    assert not executed_requests(context.rig, service), executed_requests(context.rig, service)
 
 
 @given('nothing listens any more where server "{name}" is')
@@ -989,7 +999,7 @@
             sock.bind(("127.0.0.1", 0))
             rig.servers[name].port = sock.getsockname()[1]
         rig.servers[name].register()
-        standings = [vm.knowledge.standings for vm in rig.vms.values()]
+        standings = [vm.routing_state.server_states for vm in rig.vms.values()]
         port = rig.servers[name].port
         await rig.until(lambda: all(it[name].server.port == port for it in standings))
 
@@ -998,10 +1008,10 @@
 
 @given('"{vm}" has used up its budget for repeats')
 def step_no_budget(context, vm):
-    path = context.rig.vms[vm].relay._path
+    path = context.rig.vms[vm].relay._handler
     for service in ("books", "model"):
         budget = path._budget(service)
-        budget.change(RepeatBounds(ratio=0.0, allowance=0.0, window_ms=1_000_000))
+        budget.reconfigure(FleetRetryLimits(ratio=0.0, allowance=0.0, window_ms=1_000_000))
         now = SystemClock().now()
         while budget.take(now, 1):
             pass
@@ -1033,7 +1043,7 @@
 @given('VM "{name}" has started beside "{other}"')
 def step_started_beside(context, name, other):
     rig = context.rig
-    manager = rig.vm(name, rig.vms[other].fleet.me.data_centre)
+    manager = rig.vm(name, rig.vms[other].fleet.own_vm.data_centre)
     context.stack.enter_context(context.portal.wrap_async_context_manager(manager))
     context.call(rig.settled)
 
@@ -1066,9 +1076,9 @@
         feed = context.feed = context.rig.vms[vm].feed
         context.at = SystemClock().now()
         context.reads = context.rig.app.stand_in.calls["range"]
-        missing = feed._complete + 1
-        feed.told(missing, context.at, source=None)
-        feed._learn(WatchBatch(missing))
+        missing = feed._complete_revision + 1
+        feed.note_peer_revision(missing, context.at, source=None)
+        feed._receive(WatchBatch(missing))
         # So far ahead that no change of the gateway's own reaches it.
         context.later = missing + 1_000
 
@@ -1081,7 +1091,7 @@
         rig, feed = context.rig, context.feed
         rig.app.put("other/x", b"1")
         wanted = rig.app.stand_in.store.revision
-        await rig.until(lambda: feed._complete >= wanted)
+        await rig.until(lambda: feed._complete_revision >= wanted)
 
     context.call(change)
 
@@ -1091,7 +1101,7 @@
 def step_ahead_later(context, seconds):
     async def later():
         context.at += seconds * 1_000
-        context.feed.told(context.later, context.at, source=None)
+        context.feed.note_peer_revision(context.later, context.at, source=None)
         await anyio.sleep(0.2)
 
     context.call(later)
@@ -1121,7 +1131,7 @@
             raise GatewayError(ErrorKind.PLATFORM_OUT, kind)
 
         feed._store._call = unanswered
-        feed._watching.cancel()
+        feed._follow_scope.cancel()
         withdraw_key(rig, name)
 
     context.call(silence)
@@ -1148,7 +1158,7 @@
 @then('within {limit:d} s "{vm}" reckons that it hears them {ms:d} ms late, added up')
 def step_lag(context, limit, vm, ms):
     fleet = context.rig.vms[vm].fleet
-    context.call(lambda: context.rig.until(lambda: fleet.region_lag_ms == ms, limit_s=limit))
+    context.call(lambda: context.rig.until(lambda: fleet.report_lag_ms == ms, limit_s=limit))
 
 
 @when('VM "{gone}" has crashed and "{vm}" hears it no more')
@@ -1157,8 +1167,6 @@
         rig = context.rig
         rig.vms[gone].kill()
         peers = rig.vms[vm].fleet.peers
-        await rig.until(
-            lambda: gone not in peers.by_name or not peers.is_heard(peers.by_name[gone])
-        )
+        await rig.until(lambda: gone not in peers.by_name or not peers.is_live(peers.by_name[gone]))
 
     context.call(crash)
