--- a/src/hickorybeam/policy/region_choice.py
+++ b/src/hickorybeam/policy/region_choice.py
@@ -56,7 +56,7 @@
 
     :param load: latest load report of the region.
     :param tokens_left: tokens that may be sent until the next report.
-    :param size: tokens of the quota, before what the report's free tokens allow.
+    :param size: tokens of a full quota; it doubles while reports show room.
     :param spilling: whether the latest job went there, so that the smaller margin applies.
     :param used: whether jobs were sent since the latest report.
     """
@@ -130,7 +130,7 @@
         return best
 
     def record_sent(self, job: Job, region: str, now: int) -> None:
-        """Charge a job that is sent to a region to its link and quota."""
+        """Charge a job sent to a region to its link and quota."""
         link = self._link(region)
         self._refill(link, now)
         link.bytes_left -= job.body_bytes
@@ -147,7 +147,7 @@
                 quota.spilling = False
 
     def record_success(self, region: str) -> None:
-        """Record a response of a region, which ends its back-off."""
+        """Record a response of a region; its next back-off starts at the minimum again."""
         self._link(region).backoff_ms = 0
 
     def record_failure(self, region: str, now: int) -> None:
--- a/src/hickorybeam/policy/scheduler.py
+++ b/src/hickorybeam/policy/scheduler.py
@@ -277,7 +277,7 @@
         capacity = self.backends.capacity(pool.served, now)
         pool.drain_rate.advance(now, capacity=capacity, waiting=len(pool.queue) > 0)
 
-    def _bound(self, pool: Pool, job: Job, now: int) -> WaitLimit:
+    def _wait_limit(self, pool: Pool, job: Job, now: int) -> WaitLimit:
         return WaitLimit(
             max_wait_ms=float(self._max_wait_ms - (now - job.arrived_ms)),
             remaining_ms=float(job.deadline_ms - now),
@@ -288,18 +288,18 @@
         if not self.backends.pool(job.served) or self._region not in job.regions:
             return self._refuse(job, ErrorKind.NO_BACKEND, Reason.NO_BACKEND, math.inf, 0.0)
         wait = self.expected_wait_ms(job, now)
-        bound = self._bound(pool, job, now)
-        if wait <= bound.ms:
+        limit = self._wait_limit(pool, job, now)
+        if wait <= limit.ms:
             return None
-        if bound.limited_by_deadline and bound.ms < 0:
-            return self._refuse(job, ErrorKind.DEADLINE, Reason.DEADLINE, wait, bound.ms)
-        reason = Reason.DEADLINE if bound.limited_by_deadline else Reason.WAIT
-        return self._refuse(job, ErrorKind.OVERLOADED, reason, wait, bound.ms)
+        if limit.limited_by_deadline and limit.ms < 0:
+            return self._refuse(job, ErrorKind.DEADLINE, Reason.DEADLINE, wait, limit.ms)
+        reason = Reason.DEADLINE if limit.limited_by_deadline else Reason.WAIT
+        return self._refuse(job, ErrorKind.OVERLOADED, reason, wait, limit.ms)
 
     def _refuse(
-        self, job: Job, kind: ErrorKind, reason: Reason, wait: float, bound: float
+        self, job: Job, kind: ErrorKind, reason: Reason, wait: float, max_wait_ms: float
     ) -> Refuse:
-        return Refuse(job, kind, reason, retry_after_ms(wait, bound, self._rng))
+        return Refuse(job, kind, reason, retry_after_ms(wait, max_wait_ms, self._rng))
 
     def _choose_region(self, job: Job, now: int, wait: float) -> str | None:
         if not job.may_spill or wait <= 0:
@@ -349,18 +349,20 @@
     def _jobs_to_drop(self, pool: Pool, now: int) -> list[tuple[Job, ErrorKind, Reason]]:
         late = [
             (job, ErrorKind.DEADLINE, Reason.DEADLINE)
-            if bound.limited_by_deadline
+            if limit.limited_by_deadline
             else (job, ErrorKind.OVERLOADED, Reason.WAIT)
             for job in pool.queue.jobs()
-            if (bound := self._bound(pool, job, now)).ms < 0
+            if (limit := self._wait_limit(pool, job, now)).ms < 0
         ]
         if late:
             return late
         if not self.backends.pool(pool.served):
             return [(job, ErrorKind.NO_BACKEND, Reason.NO_BACKEND) for job in pool.queue.jobs()]
         capacity = self.backends.capacity(pool.served, now)
-        keep = pool.drain_rate.per_second(capacity) * self._max_wait_ms * SHED_FACTOR / 1000
-        shed = jobs_to_shed(pool.queue, max_backlog_tokens=keep)
+        max_backlog_tokens = (
+            pool.drain_rate.per_second(capacity) * self._max_wait_ms * SHED_FACTOR / 1000
+        )
+        shed = jobs_to_shed(pool.queue, max_backlog_tokens=max_backlog_tokens)
         return [(job, ErrorKind.OVERLOADED, Reason.SHED) for job in shed]
 
     def _drop(self, pool: Pool, job: Job, kind: ErrorKind, reason: Reason, now: int) -> Decision:
--- a/src/hickorybeam/policy/server_choice.py
+++ b/src/hickorybeam/policy/server_choice.py
@@ -134,7 +134,7 @@
         self.reported_ms = now_ms
 
     def record_success(self) -> None:
-        """Record a response, which ends the back-off."""
+        """Record a response; the next back-off starts at its minimum again."""
         self.failure_rate *= 1 - FAILURE_WEIGHT
         self.backoff_ms = 0
 
--- a/tests/policy/gateway_decisions.feature
+++ b/tests/policy/gateway_decisions.feature
@@ -75,15 +75,15 @@
     When server "a" fails every other of its 24 last requests
     Then 20 questions without shared parts go to others than "a"
 
-  Scenario: the back-off from an unreachable server starts at once, doubles, and ends
+  Scenario: the back-off from an unreachable server starts at once, doubles, and is reset by a response
     Given idle servers "a, b"
     When server "a" cannot be reached
-    Then server "a" is backed off from for 400 ms
+    Then the back-off from server "a" is 400 ms
     When its back-off is over and server "a" cannot be reached
-    Then server "a" is backed off from for 800 ms
+    Then the back-off from server "a" is 800 ms
     When its back-off is over and server "a" responds
     And server "a" cannot be reached
-    Then server "a" is backed off from for 400 ms
+    Then the back-off from server "a" is 400 ms
 
   Scenario: a server of the same data centre is preferred until it is much busier
     Given idle servers "a, b, c"
--- a/tests/policy/load_decisions.feature
+++ b/tests/policy/load_decisions.feature
@@ -40,10 +40,10 @@
     When every health server fails 10 times
     Then 2 health servers are ejected
 
-  Scenario: a failing server is backed off from, and then may be tried again
+  Scenario: a failing server is in back-off, and then may be tried again
     Given health of servers "a b"
     When health server "a" fails 2 times
-    Then health server "a" is backed off from and suspect
+    Then health server "a" is in back-off and suspect
     When 300 health ms pass
     Then health server "a" may be tried
     When health server "a" succeeds
@@ -68,7 +68,7 @@
     When health server "a" takes 600 ms for 8 first tokens
     Then health server "a" is "EJECTED" with weight 0
     When 10000 health ms pass
-    And health server "a" answers a probe in 600 ms
+    And health server "a" responds to a probe in 600 ms
     Then health server "a" is "EJECTED" with weight 0
 
   Scenario: a prefix keeps its server, and only a lost server's prefixes move
@@ -108,7 +108,7 @@
       | cheap   | 0     | 90000 | 100  | 3     | 9000  | a b     | b      |
       | cheap   | 2500  | 90000 | 100  | 1     | 3000  | a b     | here   |
 
-  Scenario: a region that failed a call is backed off from
+  Scenario: a region that failed a call gets no jobs during its back-off
     Given region choice under profile "fast"
     And region "b" reports a wait of 0 ms and 90000 free tokens 100 ms ago at price 1
     When region "b" fails a call
--- a/tests/steps/policy/gateway_decisions_steps.py
+++ b/tests/steps/policy/gateway_decisions_steps.py
@@ -67,8 +67,8 @@
 
 @given("a retry budget of {ratio:g} and {allowance:d} in 10 s for {vms:d} VMs")
 def step_budget(context, ratio, allowance, vms):
-    bounds = FleetRetryLimits(ratio=ratio, allowance=allowance, window_ms=10_000)
-    context.budgets = [FleetRetryBudget(bounds) for _ in range(vms)]
+    limits = FleetRetryLimits(ratio=ratio, allowance=allowance, window_ms=10_000)
+    context.budgets = [FleetRetryBudget(limits) for _ in range(vms)]
     context.ratio, context.allowance = ratio, allowance
 
 
@@ -200,8 +200,8 @@
     context.states[name].record_unreachable(context.now)
 
 
-@then('server "{name}" is backed off from for {ms:d} ms')
-def step_backed_off(context, name, ms):
+@then('the back-off from server "{name}" is {ms:d} ms')
+def step_backoff(context, name, ms):
     assert context.states[name].backoff_until_ms == context.now + ms
 
 
--- a/tests/steps/policy/load_decisions_steps.py
+++ b/tests/steps/policy/load_decisions_steps.py
@@ -123,10 +123,10 @@
     step_health(context, names)
     for name in context.servers:
         for _ in range(5):
-            answer(context, name, ms)
+            respond(context, name, ms)
 
 
-def answer(context, name, ms):
+def respond(context, name, ms):
     number = next(context.jobs)
     context.health.record_start(name, number, context.now, scale=1.0)
     context.now += ms
@@ -156,13 +156,13 @@
 @when('health server "{name}" takes {ms:d} ms for {count:d} first tokens')
 def step_slow(context, name, ms, count):
     for _ in range(count):
-        answer(context, name, ms)
+        respond(context, name, ms)
 
 
-@when('health server "{name}" answers a probe in {ms:d} ms')
+@when('health server "{name}" responds to a probe in {ms:d} ms')
 def step_probe(context, name, ms):
     assert context.health.state(name).name == "PROBING"
-    answer(context, name, ms)
+    respond(context, name, ms)
 
 
 @when("{ms:d} health ms pass")
@@ -173,20 +173,20 @@
 
 @then("{count:d} health servers are ejected")
 def step_ejected(context, count):
-    standings = [context.health.state(name).name for name in context.servers]
-    assert standings.count("EJECTED") == count, standings
+    states = [context.health.state(name).name for name in context.servers]
+    assert states.count("EJECTED") == count, states
 
 
-@then('health server "{name}" is "{standing}" with weight {weight:g}')
-def step_standing(context, name, standing, weight):
+@then('health server "{name}" is "{state}" with weight {weight:g}')
+def step_state(context, name, state, weight):
     found = context.health.state(name).name, context.health.weight(name, context.now)
-    assert found[0] == standing, found
+    assert found[0] == state, found
     # Recent failures still count a little; the base weight is what is stated.
     assert weight * 0.3 <= found[1] <= weight + 1e-9, found
 
 
-@then('health server "{name}" is backed off from and suspect')
-def step_backed_off(context, name):
+@then('health server "{name}" is in back-off and suspect')
+def step_in_backoff(context, name):
     assert context.health.is_backing_off(name, context.now)
     assert context.health.is_suspect(name)
 
