--- a/src/hickorybeam/gateway/request_handler.py
+++ b/src/hickorybeam/gateway/request_handler.py
@@ -44,7 +44,7 @@
 
 # Sends of one request, including those that were certainly not run.
 MAX_SENDS = 4
-# A VM that has just started reads the configuration within this time: two round trips to a store in
+# A VM that has just started reads the configuration within this time: two trips to a store in
 # another region and its own start. Until then callers wait; if they were refused, they would retry
 # after as long and have no further attempt. After that, a VM without configuration refuses at once.
 MAX_CONFIG_WAIT_MS = 1_000
