--- a/bench/membership_cost.py
+++ b/bench/membership_cost.py
@@ -22,7 +22,7 @@
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent / "tests"))
 sys.path.insert(0, str(Path(__file__).resolve().parent))
 from hickorybeam.model import RegionLoad
-from hickorybeam.peers.links import AbortableProtocol
+from hickorybeam.peers.connections import AbortableProtocol
 from peer_call import tls_settings
 from support import fleet as support
 
@@ -128,7 +128,7 @@
         wall = time.perf_counter() - wall
         cpu = time.process_time() - cpu
         wire, beaten = traffic.wire - wire, beats(fleet) - beaten
-        channels = sum(len(member.peers._links) for member in fleet.members.values())
+        channels = sum(len(member.peers._connections) for member in fleet.members.values())
         count = len(fleet.members)
         return Row(
             size,
--- a/bench/peer_call.py
+++ b/bench/peer_call.py
@@ -20,7 +20,7 @@
 from hickorybeam.model import ResponseChunk, ResponseEnd, ResponseHead
 from hickorybeam.peers import make_authority, make_certificate
 from hickorybeam.settings import PeerSettings, TlsSettings
-from support.peer_nodes import ECHO, Node, Words, make_call
+from support.peer_nodes import ECHO, Node, EchoMessage, make_call
 
 CALLS = 2_000
 AT_ONCE = 20
@@ -64,7 +64,7 @@
 
 async def unary(a: Node, b: Node, calls: int) -> None:
     for _ in range(calls):
-        await a.peers.ask(b.vm, ECHO, Words("salaam"))
+        await a.peers.ask(b.vm, ECHO, EchoMessage("salaam"))
 
 
 async def unary_at_once(a: Node, b: Node) -> None:
--- a/src/hickorybeam/control/service.py
+++ b/src/hickorybeam/control/service.py
@@ -112,7 +112,7 @@
         """
         if self._members is None:
             return True
-        me = self._members.me
+        me = self._members.own_vm
         return me.id in {vm.id for vm in watchers(self._members.vms(), me.data_centre)}
 
     async def _stand_by(self) -> None:
--- a/src/hickorybeam/daemon.py
+++ b/src/hickorybeam/daemon.py
@@ -68,9 +68,9 @@
             kernel.add(ControlService(cfg=cfg, clock=clock, counters=counters))
         return cls(kernel, counters)
 
-    def me(self) -> EntryVm:
+    def own_vm(self) -> EntryVm:
         """Return the record of this VM, with the ports that it actually listens on."""
-        return self.kernel.find(ports.MEMBERS, ports.Members).me  # type: ignore[type-abstract]
+        return self.kernel.find(ports.MEMBERS, ports.Members).own_vm  # type: ignore[type-abstract]
 
 
 async def run(cfg: Settings, *, ready: Callable[[EntryVm], None] | None = None) -> None:
@@ -81,7 +81,7 @@
     daemon = Daemon.build(cfg)
 
     def report_ready() -> None:
-        me = daemon.me()
+        me = daemon.own_vm()
         logging.info("entry VM %s serves callers at %s", me.id.name, me.http_address)
         if ready is not None:
             ready(me)
--- a/src/hickorybeam/demo/fleet.py
+++ b/src/hickorybeam/demo/fleet.py
@@ -45,7 +45,7 @@
 
     def url(self, vm: str) -> str:
         """Return the address of an entry VM for callers."""
-        return self.daemons[vm].me().http_address
+        return self.daemons[vm].own_vm().http_address
 
     def vms_of(self, region: str) -> list[str]:
         """Return the names of a region's entry VMs."""
--- a/src/hickorybeam/front/gate.py
+++ b/src/hickorybeam/front/gate.py
@@ -123,7 +123,7 @@
         """Return addresses of other serving VMs, in any region if ``allowed`` is unknown."""
         if self.members is None:
             return ()
-        me = self.members.me
+        me = self.members.own_vm
         vms = [vm for vm in self.members.vms() if vm.id != me.id]
         regions = frozenset(vm.region for vm in vms) if allowed is None else allowed
         found = self.order(vms, regions, spread=me.id.name)
@@ -142,7 +142,7 @@
         """Return the VMs that a caller should use, this one included unless it drains."""
         if self.members is None or identity.allowed is None:
             return ()
-        me = self.members.me.id
+        me = self.members.own_vm.id
         vms = [
             vm
             for vm in self.members.vms()
--- a/src/hickorybeam/once/service.py
+++ b/src/hickorybeam/once/service.py
@@ -283,7 +283,7 @@
 
     def _me(self) -> VmId:
         if self._members is not None:
-            return self._members.me.id
+            return self._members.own_vm.id
         if self._issuer is None:
             self._issuer = KeyIssuer(VmId(self._cfg.vm.name, secrets.token_hex(8)))
         return self._issuer.vm
--- a/src/hickorybeam/peers/admission.py
+++ b/src/hickorybeam/peers/admission.py
@@ -17,15 +17,15 @@
 __all__ = ("check_addressee", "check_call", "mark_hop")
 
 
-def check_addressee(to: VmId, me: VmId) -> None:
+def check_addressee(to: VmId, own_id: VmId) -> None:
     """Refuse what was meant for an earlier process at this address, or for another VM.
 
     A VM restarted at the same address has none of the old one's memory: a call bound to the
     old incarnation by its idempotency key would run a second time here.
     """
-    if to.incarnation and to != me:
+    if to.incarnation and to != own_id:
         raise GatewayError(
-            ErrorKind.PEER_UNREACHABLE, f"{to.name} is gone, {me.name} listens there", ran=Ran.NO
+            ErrorKind.PEER_UNREACHABLE, f"{to.name} is gone, {own_id.name} listens there", ran=Ran.NO
         )
 
 
--- a/src/hickorybeam/peers/client.py
+++ b/src/hickorybeam/peers/client.py
@@ -36,7 +36,7 @@
     from collections.abc import AsyncGenerator, Iterator
 
     from hickorybeam.model import ResponsePart, VmId
-    from hickorybeam.peers.links import Address, Links, PeerChannel
+    from hickorybeam.peers.connections import Address, ConnectionPool, PeerChannel
 
 __all__ = ("TRANSPORT_ERRORS", "PeerClient")
 
@@ -77,8 +77,8 @@
     :param authenticate: whether peers must show a certificate that names them.
     """
 
-    def __init__(self, links: Links, *, connect_timeout_ms: int, authenticate: bool) -> None:
-        self._links = links
+    def __init__(self, connections: ConnectionPool, *, connect_timeout_ms: int, authenticate: bool) -> None:
+        self._connections = connections
         self._connect_timeout_ms = connect_timeout_ms
         self._authenticate = authenticate
 
@@ -87,7 +87,7 @@
 
         :param timeout_ms: for the whole call, connecting included.
         """
-        with self._links.channel(address) as channel, self._failures(address, channel) as progress:
+        with self._connections.channel(address) as channel, self._failures(address, channel) as progress:
             # grpclib's own timeout would put a header on the wire whose value differs each time
             # and pushes the constant ones out of the compression table.
             call = channel.request(ASK_METHOD, Cardinality.UNARY_UNARY, Ask, Answered)
@@ -104,7 +104,7 @@
 
     async def ask_steadily(self, address: Address, request: Ask, *, timeout_ms: int) -> bytes:
         """Send one request on the long-lived stream and return the reply's body."""
-        talk = self._links.conversation(address)
+        talk = self._connections.conversation(address)
         heard = talk.heard
         sent = False
         with _absorb_cancellations():
@@ -131,7 +131,7 @@
     ) -> AsyncGenerator[ResponsePart, None]:
         """Send a call and yield the answer's parts; closing the iterator cancels it there."""
         ended = False
-        with self._links.channel(address) as channel, self._failures(address, channel) as progress:
+        with self._connections.channel(address) as channel, self._failures(address, channel) as progress:
             call = channel.request(FORWARD_METHOD, Cardinality.UNARY_STREAM, Forward, Parts)
             async with call as stream:
                 with anyio.fail_after(self._connect_timeout_ms / MS_PER_SECOND):
@@ -171,7 +171,7 @@
                 raise GatewayError(ErrorKind.PEER_REFUSED, str(address), ran=Ran.NO) from exc
             except TimeoutError as exc:
                 if channel.heard_bytes() == progress.heard_before:
-                    self._links.retire(address, channel)
+                    self._connections.retire(address, channel)
                 raise _unreachable(address, "timeout", progress.ran) from exc
             except TRANSPORT_ERRORS as exc:
                 if progress.answered:
--- a/src/hickorybeam/peers/links.py
+++ b/src/hickorybeam/peers/connections.py
@@ -26,7 +26,7 @@
 
     from hickorybeam.clock import Clock
 
-__all__ = ("AbortableProtocol", "Address", "Links", "PeerChannel", "keep_alive")
+__all__ = ("AbortableProtocol", "Address", "ConnectionPool", "PeerChannel", "keep_alive")
 
 # Longer than a VM's round of its heartbeat partners; a VM that joins meets others in passing.
 IDLE_MS = 20_000
@@ -135,7 +135,7 @@
     last_used: int = 0
 
 
-class Links:
+class ConnectionPool:
     """All channels of this VM, by address.
 
     :param tls: context for connections to peers; ``None`` for plain connections.
--- a/src/hickorybeam/peers/conversation.py
+++ b/src/hickorybeam/peers/conversation.py
@@ -17,7 +17,7 @@
 from hickorybeam.peers.wire import TALK_METHOD, Answered, NumberedAsk, TransportEndedError
 
 if TYPE_CHECKING:
-    from hickorybeam.peers.links import PeerChannel
+    from hickorybeam.peers.connections import PeerChannel
     from hickorybeam.peers.wire import Ask
 
 __all__ = ("Conversation",)
--- a/src/hickorybeam/peers/members.py
+++ b/src/hickorybeam/peers/members.py
@@ -117,7 +117,7 @@
         self._registry = Registry(
             platform=kernel.find(ports.PLATFORM, Platform),  # type: ignore[type-abstract]
             clock=self._clock,
-            me=lambda: self.me,
+            me=lambda: self.own_vm,
             lease_ms=self._cfg.platform.lease_ms,
         )
         self._search = Search(
@@ -132,7 +132,7 @@
         self._peers.serve(WHO, self._on_who)
 
     @property
-    def me(self) -> EntryVm:
+    def own_vm(self) -> EntryVm:
         """The VM of this process."""
         return self._exchange.me
 
@@ -178,19 +178,19 @@
 
     def announce_serving(self, *, http_port: int) -> None:
         """Announce that callers are served on this port."""
-        state = VmState.SERVING if self.me.state is VmState.JOINING else self.me.state
-        self._announce(replace(self.me, http_port=http_port, state=state))
+        state = VmState.SERVING if self.own_vm.state is VmState.JOINING else self.own_vm.state
+        self._announce(replace(self.own_vm, http_port=http_port, state=state))
 
     def announce_leaving(self) -> None:
         """Announce that this VM is shutting down."""
-        if self.me.state is not VmState.LEAVING:
-            self._announce(replace(self.me, state=VmState.LEAVING))
+        if self.own_vm.state is not VmState.LEAVING:
+            self._announce(replace(self.own_vm, state=VmState.LEAVING))
 
     def status(self) -> dict[str, object]:
         """Return the view for operators."""
         now = self._clock.now()
         return {
-            "me": self.me.id.name,
+            "me": self.own_vm.id.name,
             "superseded": self._exchange.superseded,
             "cut_off": sorted(self._partners.cut_off(self._clock.now())),
             "vms": [
@@ -229,7 +229,7 @@
     async def drain(self) -> None:
         """Say the last word to the neighbours and leave the platform's list."""
         self._exchange.announce(
-            replace(self.me, state=VmState.LEAVING), wall_ms=self._clock.wall(), gone=True
+            replace(self.own_vm, state=VmState.LEAVING), wall_ms=self._clock.wall(), gone=True
         )
         with anyio.move_on_after(LEAVE_TIMEOUT_MS / 1000):
             async with anyio.create_task_group() as tg:
@@ -248,7 +248,7 @@
             await self._search.read_list()
         here = await self._search.ask(VMS_TRIED_AT_JOIN)
         latest = self._search.latest_life(here)
-        me = replace(self.me, peer_port=self._listener.port)
+        me = replace(self.own_vm, peer_port=self._listener.port)
         if latest >= me.id.incarnation:
             incarnation = new_incarnation(self._clock.wall(), after=latest)
             me = replace(me, id=VmId(me.id.name, incarnation))
@@ -324,7 +324,7 @@
         return reply
 
     def _patience(self, vm: EntryVm) -> int:
-        if vm.data_centre != self.me.data_centre:
+        if vm.data_centre != self.own_vm.data_centre:
             return self._cfg.peers.call_timeout_ms
         return min(self._cfg.peers.call_timeout_ms, self._cfg.peers.silent_after_ms // 2)
 
@@ -365,7 +365,7 @@
     # Failures.
 
     def _missed(self, vm: EntryVm, exc: GatewayError) -> None:
-        if vm.data_centre != self.me.data_centre:
+        if vm.data_centre != self.own_vm.data_centre:
             self._partners.wide_missed(vm.data_centre)
             return
         if self.find(vm.id) is None:
@@ -410,7 +410,7 @@
     def _witnesses(self, suspect: EntryVm) -> list[EntryVm]:
         witnesses = self._partners.witnesses(suspect)
         if not witnesses:
-            witnesses = [vm for vm in self.vms() if vm.data_centre != self.me.data_centre]
+            witnesses = [vm for vm in self.vms() if vm.data_centre != self.own_vm.data_centre]
             self._random.shuffle(witnesses)
         return witnesses[:VMS_ASKED_ABOUT_SUSPECT]
 
@@ -427,7 +427,7 @@
 
     async def _on_probe(self, sender: VmId, probe: Probe) -> Probed:
         try:
-            request = Who(self.me.id.name)
+            request = Who(self.own_vm.id.name)
             timeout_ms = self._patience(probe.suspect)
             await self._peers.ask(probe.suspect, WHO, request, timeout_ms=timeout_ms)
         except GatewayError:
@@ -477,7 +477,7 @@
         silent = [
             record.vm
             for record in self._exchange.roster
-            if record.silent and not record.gone and record.vm.data_centre == self.me.data_centre
+            if record.silent and not record.gone and record.vm.data_centre == self.own_vm.data_centre
         ]
         if silent:
             await self._beat(self._random.choice(silent))
--- a/src/hickorybeam/peers/search.py
+++ b/src/hickorybeam/peers/search.py
@@ -12,7 +12,7 @@
 from hickorybeam.errors import GatewayError
 from hickorybeam.model import EntryVm, VmId
 from hickorybeam.peers.heartbeat import WHO, Here, Who
-from hickorybeam.peers.links import Address
+from hickorybeam.peers.connections import Address
 
 if TYPE_CHECKING:
     from hickorybeam.peers.exchange import Exchange
--- a/src/hickorybeam/peers/server.py
+++ b/src/hickorybeam/peers/server.py
@@ -14,7 +14,7 @@
 from grpclib.server import Server
 
 from hickorybeam.peers.codec import MessagePackCodec
-from hickorybeam.peers.links import AbortableProtocol, keep_alive
+from hickorybeam.peers.connections import AbortableProtocol, keep_alive
 from hickorybeam.peers.wire import (
     ASK_METHOD,
     FORWARD_METHOD,
--- a/src/hickorybeam/peers/service.py
+++ b/src/hickorybeam/peers/service.py
@@ -16,7 +16,7 @@
 from hickorybeam.peers.admission import check_addressee, check_call, mark_hop
 from hickorybeam.peers.client import TRANSPORT_ERRORS, PeerClient
 from hickorybeam.peers.codec import pack, unpack
-from hickorybeam.peers.links import Address, Links
+from hickorybeam.peers.connections import Address, ConnectionPool
 from hickorybeam.peers.server import PeerServer
 from hickorybeam.peers.tls import check_certificate, client_context, server_context
 from hickorybeam.peers.wire import Answered, Ask, Forward, Parts, to_wire
@@ -60,7 +60,7 @@
         self._routes = {
             Address.parse(route.address): Address.parse(route.via) for route in cfg.peers.routes
         }
-        self._links: Links | None = None
+        self._connections: ConnectionPool | None = None
         self._client: PeerClient | None = None
         self._kernel: Kernel | None = None
         self._found: dict[str, object] = {}
@@ -83,18 +83,18 @@
             def start(talk: Conversation) -> None:
                 tg.start_soon(talk.run, cfg.call_timeout_ms, TRANSPORT_ERRORS)
 
-            self._links = Links(
+            self._connections = ConnectionPool(
                 clock=self._clock, tls=tls, silent_after_ms=cfg.silent_after_ms, start=start
             )
             self._client = PeerClient(
-                self._links,
+                self._connections,
                 connect_timeout_ms=cfg.call_timeout_ms,
                 authenticate=tls is not None,
             )
             try:
                 await self._listen(server, listening_tls, started)
             finally:
-                self._links.close()
+                self._connections.close()
                 server.abort()
 
     async def _listen(
@@ -105,9 +105,9 @@
         started()
         while True:
             await self._clock.sleep(SWEEP_MS)
-            if self._links is not None:
-                self._links.sweep()
-                self._channels.set(len(self._links))
+            if self._connections is not None:
+                self._connections.sweep()
+                self._channels.set(len(self._connections))
             server.sweep()
 
     async def drain(self) -> None:
@@ -234,7 +234,7 @@
         return self._routes.get(advertised, advertised)
 
     def _me(self) -> VmId:
-        return self._find(ports.MEMBERS, ports.Members).me.id  # type: ignore[type-abstract]
+        return self._find(ports.MEMBERS, ports.Members).own_vm.id  # type: ignore[type-abstract]
 
     def _ready(self) -> PeerClient:
         if self._client is None:
--- a/src/hickorybeam/ports.py
+++ b/src/hickorybeam/ports.py
@@ -122,7 +122,7 @@
     """The VMs of the fleet, as known to this VM (service ``members``)."""
 
     @property
-    def me(self) -> EntryVm:
+    def own_vm(self) -> EntryVm:
         """The VM of this process."""
         ...
 
--- a/src/hickorybeam/shares/service.py
+++ b/src/hickorybeam/shares/service.py
@@ -462,7 +462,7 @@
 
     def _me(self) -> Holder:
         if self._members is not None:
-            return Holder(self._members.me.id, self._members.me.data_centre)
+            return Holder(self._members.own_vm.id, self._members.own_vm.data_centre)
         vm = VmId(self._cfg.vm.name, secrets.token_hex(8))
         return Holder(vm, self._cfg.vm.data_centre)
 
--- a/src/hickorybeam/tickets/service.py
+++ b/src/hickorybeam/tickets/service.py
@@ -322,7 +322,7 @@
     def _is_watcher(self) -> bool:
         if self._members is None:
             return True
-        me = self._members.me
+        me = self._members.own_vm
         chosen = watchers(self._members.vms(), me.data_centre)
         return me.id in {vm.id for vm in chosen} or self._left_alone()
 
@@ -357,7 +357,7 @@
         """Ask peers in turn until one with a fresh confirmation answers."""
         if self._members is None:
             return False
-        vms = ask_order(self._members.vms(), self._members.me, self._rng, at_most=ASK_AT_MOST)
+        vms = ask_order(self._members.vms(), self._members.own_vm, self._rng, at_most=ASK_AT_MOST)
         for vm in vms:
             if await self._ask(vm) and not self._left_alone():
                 return True
--- a/tests/steps/dispatch/fakes.py
+++ b/tests/steps/dispatch/fakes.py
@@ -123,11 +123,11 @@
         self.reported = ()
 
     @property
-    def me(self):
+    def own_vm(self):
         return vm_in(HERE, "vm-here")
 
     def vms(self):
-        return (self.me, *self.others)
+        return (self.own_vm, *self.others)
 
     def find(self, vm):
         return next((found for found in self.vms() if found.id == vm), None)
--- a/tests/steps/front/rig.py
+++ b/tests/steps/front/rig.py
@@ -82,8 +82,8 @@
     name = MEMBERS
 
     def __init__(self):
-        self.me = vm("vm-1", "here", 8001)
-        self.fleet = [self.me, vm("vm-2", "here", 8002), vm("vm-3", "there", 8003)]
+        self.own_vm = vm("vm-1", "here", 8001)
+        self.fleet = [self.own_vm, vm("vm-2", "here", 8002), vm("vm-3", "there", 8003)]
         self.left = False
 
     def vms(self):
--- a/tests/steps/peers/authentication_steps.py
+++ b/tests/steps/peers/authentication_steps.py
@@ -8,7 +8,7 @@
 
 import anyio
 from behave import given, then, when
-from peers.transport_steps import ECHO, Words, enter
+from peers.transport_steps import ECHO, EchoMessage, enter
 
 from hickorybeam.errors import ErrorKind, GatewayError
 from hickorybeam.peers.authority import make_authority, make_certificate
@@ -52,7 +52,7 @@
 
         async def echo(sender, words):
             context.handled.append(words)
-            return Words(f"{sender.name} said {words.text}")
+            return EchoMessage(f"{sender.name} said {words.text}")
 
         node.peers.serve(ECHO, echo)
     enter(context, node.running())
--- a/tests/steps/peers/partition_steps.py
+++ b/tests/steps/peers/partition_steps.py
@@ -36,7 +36,7 @@
 
 @when("the platform's list {fault}")
 def step_list_fault(context, fault):
-    running = [found.members.me for found in context.fleet.members.values()]
+    running = [found.members.own_vm for found in context.fleet.members.values()]
     match fault:
         case "names VMs that are long gone":
             vms = [*running, *(gone_vm(number, "000-1") for number in range(50, 60))]
--- a/tests/steps/peers/silent_steps.py
+++ b/tests/steps/peers/silent_steps.py
@@ -10,12 +10,12 @@
 
 from hickorybeam.errors import GatewayError
 from hickorybeam.model import ResponseChunk, VmId
-from hickorybeam.peers.links import AbortableProtocol
+from hickorybeam.peers.connections import AbortableProtocol
 from hickorybeam.peers.server import PeerServer
 from hickorybeam.peers.wire import Answered, Ask, NumberedAsk
 from hickorybeam.settings import PeerSettings
 from hickorybeam.standins import relay
-from support.peer_nodes import ECHO, PLAIN, Node, Words, collect, enter, make_call
+from support.peer_nodes import ECHO, PLAIN, Node, EchoMessage, collect, enter, make_call
 from support.stopwatch import Stopwatch
 
 SILENT_MS = 400
@@ -28,7 +28,7 @@
 @given("two peer nodes with a relay before B")
 def step_relay(context):
     async def echo(sender, words):
-        return Words(f"{sender.name} said {words.text}")
+        return EchoMessage(f"{sender.name} said {words.text}")
 
     peers = PeerSettings(tls=PLAIN, silent_after_ms=SILENT_MS, call_timeout_ms=SILENT_MS)
     context.a = context.call(lambda: Node("vm-a", peers=peers))
@@ -62,7 +62,7 @@
         context.reply = context.error = None
         try:
             context.reply = await context.a.peers.ask(
-                context.target, topic, Words(text), timeout_ms=ASK_TIMEOUT_MS
+                context.target, topic, EchoMessage(text), timeout_ms=ASK_TIMEOUT_MS
             )
         except GatewayError as exc:
             context.error = exc
@@ -187,7 +187,7 @@
     context.answers = []
 
     async def ask(text):
-        reply = await context.a.peers.ask(context.target, STEADY, Words(text), timeout_ms=5_000)
+        reply = await context.a.peers.ask(context.target, STEADY, EchoMessage(text), timeout_ms=5_000)
         context.answers.append((text, reply.text))
         if len(context.answers) == count - 1:
             context.others_answered.set()
--- a/tests/steps/peers/transport_steps.py
+++ b/tests/steps/peers/transport_steps.py
@@ -18,9 +18,9 @@
     Versioned,
     VmId,
 )
-from hickorybeam.peers.links import Address
+from hickorybeam.peers.connections import Address
 from hickorybeam.peers.wire import Forward
-from support.peer_nodes import ECHO, Node, Words, collect, enter, home_state, make_call, make_state
+from support.peer_nodes import ECHO, Node, EchoMessage, collect, enter, home_state, make_call, make_state
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,8 +30,8 @@
 
 @given("two peer nodes")
 def step_two_nodes(context):
-    async def echo(sender: VmId, words: Words) -> Words:
-        return Words(f"{sender.name} said {words.text}")
+    async def echo(sender: VmId, words: EchoMessage) -> EchoMessage:
+        return EchoMessage(f"{sender.name} said {words.text}")
 
     context.handler = echo
     context.a = enter(context, context.call(lambda: Node("vm-a")).running())
@@ -100,7 +100,7 @@
     async def ask():
         vm = getattr(context, "old_vm", context.b.vm)
         try:
-            context.reply = await context.a.peers.ask(vm, ECHO, Words(text), timeout_ms=300)
+            context.reply = await context.a.peers.ask(vm, ECHO, EchoMessage(text), timeout_ms=300)
         except GatewayError as exc:
             context.error = exc
 
@@ -109,7 +109,7 @@
 
 @then('the peer reply is "{text}"')
 def step_reply(context, text):
-    assert context.reply == Words(text), context.reply
+    assert context.reply == EchoMessage(text), context.reply
 
 
 @then("the peer call fails with {kind}, ran {ran}, retry after {ms:d}")
--- a/tests/steps/shares/fakes.py
+++ b/tests/steps/shares/fakes.py
@@ -219,7 +219,7 @@
         self.node = node
 
     @property
-    def me(self):
+    def own_vm(self):
         return self.node.vm
 
     def vms(self):
--- a/tests/steps/tickets/fakes.py
+++ b/tests/steps/tickets/fakes.py
@@ -69,7 +69,7 @@
         network.members[me.id.name] = self
 
     @property
-    def me(self):
+    def own_vm(self):
         return self._me
 
     def vms(self):
@@ -104,7 +104,7 @@
 
     def beat(self):
         for name, other in self.network.members.items():
-            near = other.me.data_centre == self._me.data_centre
+            near = other.own_vm.data_centre == self._me.data_centre
             if other is not self and near and self.network.reach(self._me.id.name, name):
                 for note_name, note in self.notes.items():
                     if note_name in other.listeners:
--- a/tests/support/peer_nodes.py
+++ b/tests/support/peer_nodes.py
@@ -61,7 +61,7 @@
         self.vm = vm
 
     @property
-    def me(self):
+    def own_vm(self):
         return self.vm
 
     def vms(self):
@@ -161,7 +161,7 @@
 class Node:
     """One entry VM of a test: the kernel runs it until ``stop``."""
 
-    def __init__(self, name="vm-a", region="dakar", *, state=None, port=0, peers=None, life="1"):
+    def __init__(self, name="vm-a", region="dakar", *, state=None, port=0, peers=None, incarnation="1"):
         self.cfg = Settings(
             vm=VmSettings(name=name, region=region, data_centre=region + "-1", peer_port=port),
             platform=PlatformSettings(urls=()),
@@ -172,7 +172,7 @@
         self.peers = PeersService(cfg=self.cfg, clock=self.clock, counters=self.counters)
         self.members = FakeMembers(
             EntryVm(
-                id=VmId(name, life),
+                id=VmId(name, incarnation),
                 region=region,
                 data_centre=region + "-1",
                 host="127.0.0.1",
@@ -224,11 +224,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Words:
+class EchoMessage:
     text: str
 
 
-ECHO = Topic("echo", Words, Words)
+ECHO = Topic("echo", EchoMessage, EchoMessage)
 
 
 def enter(context, manager):
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -448,7 +448,7 @@
     Mutation(
         "a new process is not the old one",
         "peers/admission.py",
-        "    if to.incarnation and to != me:",
+        "    if to.incarnation and to != own_id:",
         "    if False:",
         "peers",
     ),
