--- a/src/hickorybeam/peers/admission.py
+++ b/src/hickorybeam/peers/admission.py
@@ -25,7 +25,9 @@
     """
     if to.incarnation and to != own_id:
         raise GatewayError(
-            ErrorKind.PEER_UNREACHABLE, f"{to.name} is gone, {own_id.name} listens there", ran=Ran.NO
+            ErrorKind.PEER_UNREACHABLE,
+            f"{to.name} is gone, {own_id.name} listens there",
+            ran=Ran.NO,
         )
 
 
--- a/src/hickorybeam/peers/authority.py
+++ b/src/hickorybeam/peers/authority.py
@@ -20,7 +20,7 @@
 if TYPE_CHECKING:
     from pathlib import Path
 
-__all__ = ("Issued", "make_authority", "make_certificate")
+__all__ = ("IssuedCertificate", "make_authority", "make_certificate")
 
 AUTHORITY_NAME = "authority"
 FLEET_NAME = "fleet"
@@ -31,7 +31,7 @@
 PRIVATE = 0o600
 
 
-class Issued:
+class IssuedCertificate:
     """The files of one certificate."""
 
     def __init__(self, folder: Path, name: str) -> None:
@@ -39,12 +39,12 @@
         self.key_file = folder / f"{name}.key"
 
 
-def make_authority(folder: Path, *, wall_ms: int) -> Issued:
+def make_authority(folder: Path, *, wall_ms: int) -> IssuedCertificate:
     """Write a new authority's certificate and key.
 
     Raises ``SETTINGS_INVALID`` when there is one: a second would split the fleet.
     """
-    issued = Issued(folder, AUTHORITY_NAME)
+    issued = IssuedCertificate(folder, AUTHORITY_NAME)
     if issued.key_file.exists():
         raise GatewayError(ErrorKind.SETTINGS_INVALID, f"{issued.key_file} exists already")
     folder.mkdir(parents=True, exist_ok=True)
@@ -62,13 +62,13 @@
 
 def make_certificate(
     folder: Path, *, wall_ms: int, vm: str = "", days: int = CERTIFICATE_DAYS
-) -> Issued:
+) -> IssuedCertificate:
     """Write a certificate signed by the authority in the same folder.
 
     :param vm: the VM it names; empty for the whole fleet.
     :param days: how long it holds; a negative number makes an expired one.
     """
-    authority = Issued(folder, AUTHORITY_NAME)
+    authority = IssuedCertificate(folder, AUTHORITY_NAME)
     try:
         ca_cert = x509.load_pem_x509_certificate(authority.cert_file.read_bytes())
         ca_key = serialization.load_pem_private_key(authority.key_file.read_bytes(), None)
@@ -90,7 +90,7 @@
         )
         .add_extension(issuer_key, critical=False)
     )
-    issued = Issued(folder, vm or FLEET_NAME)
+    issued = IssuedCertificate(folder, vm or FLEET_NAME)
     _write(issued, builder.sign(ca_key, hashes.SHA256()), key)
     return issued
 
@@ -134,7 +134,9 @@
     )
 
 
-def _write(issued: Issued, cert: x509.Certificate, key: ec.EllipticCurvePrivateKey) -> None:
+def _write(
+    issued: IssuedCertificate, cert: x509.Certificate, key: ec.EllipticCurvePrivateKey
+) -> None:
     private = key.private_bytes(
         serialization.Encoding.PEM,
         serialization.PrivateFormat.PKCS8,
--- a/src/hickorybeam/peers/changes.py
+++ b/src/hickorybeam/peers/changes.py
@@ -16,13 +16,13 @@
 
     from hickorybeam.model import VmId
 
-__all__ = ("Changes",)
+__all__ = ("ChangeLog",)
 
 T = TypeVar("T")
 
 
 @dataclass(frozen=True, slots=True)
-class Changed(Generic[T]):
+class LoggedChange(Generic[T]):
     """One item's latest value and the peer that told us, if any."""
 
     seq: int
@@ -30,17 +30,17 @@
     source: VmId | None
 
 
-class Changes(Generic[T]):
+class ChangeLog(Generic[T]):
     """The latest value of each item, ordered by when it changed here."""
 
     def __init__(self) -> None:
         self.seq = 0
-        self._items: OrderedDict[Hashable, Changed[T]] = OrderedDict()
+        self._items: OrderedDict[Hashable, LoggedChange[T]] = OrderedDict()
 
     def put(self, key: Hashable, value: T, *, source: VmId | None = None) -> None:
         """Note that an item changed."""
         self.seq += 1
-        self._items[key] = Changed(self.seq, value, source)
+        self._items[key] = LoggedChange(self.seq, value, source)
         self._items.move_to_end(key)
 
     def drop(self, key: Hashable) -> None:
--- a/src/hickorybeam/peers/client.py
+++ b/src/hickorybeam/peers/client.py
@@ -24,10 +24,10 @@
 from hickorybeam.peers.wire import (
     ASK_METHOD,
     FORWARD_METHOD,
-    Answered,
-    Ask,
-    Forward,
-    Parts,
+    AskReply,
+    AskRequest,
+    ForwardRequest,
+    ResponseParts,
     TransportEndedError,
     to_error,
 )
@@ -53,15 +53,15 @@
 )
 
 
-class Progress:
+class CallProgress:
     """How far one call got; ``sent`` from the moment its body may have reached the peer."""
 
-    __slots__ = ("answered", "heard_before", "sent")
+    __slots__ = ("answered", "received_before", "sent")
 
     def __init__(self, channel: PeerChannel) -> None:
         self.sent = False
         self.answered = False
-        self.heard_before = channel.heard_bytes()
+        self.received_before = channel.received_bytes()
 
     @property
     def ran(self) -> Ran:
@@ -77,34 +77,41 @@
     :param authenticate: whether peers must show a certificate that names them.
     """
 
-    def __init__(self, connections: ConnectionPool, *, connect_timeout_ms: int, authenticate: bool) -> None:
+    def __init__(
+        self, connections: ConnectionPool, *, connect_timeout_ms: int, authenticate: bool
+    ) -> None:
         self._connections = connections
         self._connect_timeout_ms = connect_timeout_ms
         self._authenticate = authenticate
 
-    async def ask(self, address: Address, request: Ask, *, timeout_ms: int) -> bytes:
+    async def ask(self, address: Address, request: AskRequest, *, timeout_ms: int) -> bytes:
         """Send one request and return the reply's body.
 
         :param timeout_ms: for the whole call, connecting included.
         """
-        with self._connections.channel(address) as channel, self._failures(address, channel) as progress:
+        with (
+            self._connections.channel(address) as channel,
+            self._failures(address, channel) as progress,
+        ):
             # grpclib's own timeout would put a header on the wire whose value differs each time
             # and pushes the constant ones out of the compression table.
-            call = channel.request(ASK_METHOD, Cardinality.UNARY_UNARY, Ask, Answered)
+            call = channel.request(ASK_METHOD, Cardinality.UNARY_UNARY, AskRequest, AskReply)
             with anyio.fail_after(timeout_ms / MS_PER_SECOND):
                 async with call as stream:
                     await stream.send_request()
                     self._check_peer(stream, request.to)
                     progress.sent = True
                     await stream.send_message(request, end=True)
-                    reply: Answered | None = await stream.recv_message()
+                    reply: AskReply | None = await stream.recv_message()
         if reply is None:
             raise _unreachable(address, "no reply", progress.ran)
         return _body(reply)
 
-    async def ask_steadily(self, address: Address, request: Ask, *, timeout_ms: int) -> bytes:
+    async def ask_on_shared_stream(
+        self, address: Address, request: AskRequest, *, timeout_ms: int
+    ) -> bytes:
         """Send one request on the long-lived stream and return the reply's body."""
-        talk = self._connections.conversation(address)
+        talk = self._connections.shared_stream(address)
         heard = talk.heard
         sent = False
         with _absorb_cancellations():
@@ -127,12 +134,17 @@
         return _body(reply)
 
     async def forward(
-        self, address: Address, request: Forward
+        self, address: Address, request: ForwardRequest
     ) -> AsyncGenerator[ResponsePart, None]:
         """Send a call and yield the answer's parts; closing the iterator cancels it there."""
         ended = False
-        with self._connections.channel(address) as channel, self._failures(address, channel) as progress:
-            call = channel.request(FORWARD_METHOD, Cardinality.UNARY_STREAM, Forward, Parts)
+        with (
+            self._connections.channel(address) as channel,
+            self._failures(address, channel) as progress,
+        ):
+            call = channel.request(
+                FORWARD_METHOD, Cardinality.UNARY_STREAM, ForwardRequest, ResponseParts
+            )
             async with call as stream:
                 with anyio.fail_after(self._connect_timeout_ms / MS_PER_SECOND):
                     await stream.send_request()
@@ -160,8 +172,8 @@
             check_certificate(stream.peer.cert(), to.name)
 
     @contextmanager
-    def _failures(self, address: Address, channel: PeerChannel) -> Iterator[Progress]:
-        progress = Progress(channel)
+    def _failures(self, address: Address, channel: PeerChannel) -> Iterator[CallProgress]:
+        progress = CallProgress(channel)
         with _absorb_cancellations():
             try:
                 yield progress
@@ -170,7 +182,7 @@
             except ssl.SSLCertVerificationError as exc:
                 raise GatewayError(ErrorKind.PEER_REFUSED, str(address), ran=Ran.NO) from exc
             except TimeoutError as exc:
-                if channel.heard_bytes() == progress.heard_before:
+                if channel.received_bytes() == progress.received_before:
                     self._connections.retire(address, channel)
                 raise _unreachable(address, "timeout", progress.ran) from exc
             except TRANSPORT_ERRORS as exc:
@@ -179,13 +191,13 @@
                 raise _unreachable(address, type(exc).__name__, progress.ran) from exc
 
 
-def _body(reply: Answered) -> bytes:
+def _body(reply: AskReply) -> bytes:
     if reply.error is not None:
         raise to_error(reply.error)
     return reply.body
 
 
-def _in_order(parts: Parts) -> Iterator[ResponsePart]:
+def _in_order(parts: ResponseParts) -> Iterator[ResponsePart]:
     if parts.head is not None:
         yield parts.head
     yield from parts.chunks
--- a/src/hickorybeam/peers/connections.py
+++ b/src/hickorybeam/peers/connections.py
@@ -17,7 +17,7 @@
 
 from hickorybeam.clock import MS_PER_SECOND
 from hickorybeam.peers.codec import MessagePackCodec
-from hickorybeam.peers.conversation import Conversation
+from hickorybeam.peers.shared_stream import SharedStream
 
 if TYPE_CHECKING:
     import ssl
@@ -26,7 +26,7 @@
 
     from hickorybeam.clock import Clock
 
-__all__ = ("AbortableProtocol", "Address", "ConnectionPool", "PeerChannel", "keep_alive")
+__all__ = ("AbortableProtocol", "Address", "ConnectionPool", "PeerChannel", "with_pings")
 
 # Longer than a VM's round of its heartbeat partners; a VM that joins meets others in passing.
 IDLE_MS = 20_000
@@ -56,7 +56,7 @@
         return f"{self.host}:{self.port}"
 
 
-def windows() -> Configuration:
+def without_pings() -> Configuration:
     """Return grpclib's settings with no pings, where every call has a timeout of its own."""
     return Configuration(
         http2_connection_window_size=CONNECTION_WINDOW_BYTES,
@@ -64,7 +64,7 @@
     )
 
 
-def keep_alive(silent_after_ms: int) -> Configuration:
+def with_pings(silent_after_ms: int) -> Configuration:
     """Return grpclib's settings: a ping at half the time, closed when unanswered as long."""
     half_s = silent_after_ms / 2 / MS_PER_SECOND
     return Configuration(
@@ -110,7 +110,7 @@
         plain: Any = super()._protocol_factory()
         return AbortableProtocol(plain.handler, plain.config, plain.h2_config)
 
-    def heard_bytes(self) -> int:
+    def received_bytes(self) -> int:
         """Return how much message data ever came in on the present connection."""
         return 0 if self._protocol is None else int(self._protocol.connection.data_received)
 
@@ -128,10 +128,10 @@
 
 
 @dataclass(slots=True)
-class Spoken:
+class PooledStream:
     """A conversation and when it was last used."""
 
-    conversation: Conversation
+    shared_stream: SharedStream
     last_used: int = 0
 
 
@@ -149,17 +149,17 @@
         clock: Clock,
         tls: ssl.SSLContext | None,
         silent_after_ms: int,
-        start: Callable[[Conversation], None],
+        start: Callable[[SharedStream], None],
     ) -> None:
         self._start = start
-        self._conversations: dict[Address, Spoken] = {}
+        self._streams: dict[Address, PooledStream] = {}
         self._clock = clock
         self._tls = tls
-        self._cfg = keep_alive(silent_after_ms)
+        self._cfg = with_pings(silent_after_ms)
         self._channels: dict[Address, list[PeerChannel]] = {}
 
     def __len__(self) -> int:
-        return sum(map(len, self._channels.values())) + len(self._conversations)
+        return sum(map(len, self._channels.values())) + len(self._streams)
 
     @contextmanager
     def channel(self, address: Address) -> Iterator[PeerChannel]:
@@ -174,15 +174,15 @@
             if chosen.retired and not chosen.open_calls:
                 chosen.abort()
 
-    def conversation(self, address: Address) -> Conversation:
+    def shared_stream(self, address: Address) -> SharedStream:
         """Return the conversation with a peer, begun if there is none."""
-        found = self._conversations.get(address)
-        if found is None or found.conversation.ended:
-            channel = PeerChannel(address, tls=self._tls, cfg=windows())
-            found = self._conversations[address] = Spoken(Conversation(channel))
-            self._start(found.conversation)
+        found = self._streams.get(address)
+        if found is None or found.shared_stream.ended:
+            channel = PeerChannel(address, tls=self._tls, cfg=without_pings())
+            found = self._streams[address] = PooledStream(SharedStream(channel))
+            self._start(found.shared_stream)
         found.last_used = self._clock.now()
-        return found.conversation
+        return found.shared_stream
 
     def retire(self, address: Address, channel: PeerChannel) -> None:
         """Give no new call to a channel that fell silent; open ones are left to the pings."""
@@ -202,11 +202,11 @@
                     channel.close()
             if not channels:
                 del self._channels[address]
-        for address, spoken in list(self._conversations.items()):
-            if spoken.conversation.idle and now - spoken.last_used > IDLE_MS:
-                spoken.conversation.end()
-            if spoken.conversation.ended:
-                del self._conversations[address]
+        for address, spoken in list(self._streams.items()):
+            if spoken.shared_stream.idle and now - spoken.last_used > IDLE_MS:
+                spoken.shared_stream.end()
+            if spoken.shared_stream.ended:
+                del self._streams[address]
 
     def close(self) -> None:
         """Close every channel."""
@@ -214,9 +214,9 @@
             for channel in channels:
                 channel.close()
         self._channels.clear()
-        for spoken in self._conversations.values():
-            spoken.conversation.end()
-        self._conversations.clear()
+        for spoken in self._streams.values():
+            spoken.shared_stream.end()
+        self._streams.clear()
 
     def _usable(self, address: Address) -> PeerChannel:
         channels = self._channels.setdefault(address, [])
--- a/src/hickorybeam/peers/search.py
+++ b/src/hickorybeam/peers/discovery.py
@@ -11,16 +11,16 @@
 
 from hickorybeam.errors import GatewayError
 from hickorybeam.model import EntryVm, VmId
-from hickorybeam.peers.heartbeat import WHO, Here, Who
 from hickorybeam.peers.connections import Address
+from hickorybeam.peers.heartbeat import WHO, WhoReply, WhoRequest
 
 if TYPE_CHECKING:
-    from hickorybeam.peers.exchange import Exchange
+    from hickorybeam.peers.gossip import GossipState
     from hickorybeam.peers.partners import Partners
     from hickorybeam.peers.registry import Registry
     from hickorybeam.ports import Peers
 
-__all__ = ("Search", "new_incarnation")
+__all__ = ("Discovery", "new_incarnation")
 
 
 def new_incarnation(wall_ms: int, *, after: str = "") -> str:
@@ -35,7 +35,7 @@
     return f"{start:012x}-{random.getrandbits(32):08x}"
 
 
-class Search:
+class Discovery:
     """Asks addresses who listens there.
 
     :param seeds: ``host:port`` of VMs to try besides the list.
@@ -46,50 +46,50 @@
         *,
         peers: Peers,
         registry: Registry,
-        exchange: Exchange,
+        gossip: GossipState,
         partners: Partners,
         seeds: tuple[str, ...],
     ) -> None:
         self._peers = peers
         self._registry = registry
-        self._exchange = exchange
+        self._gossip = gossip
         self._partners = partners
         self._seeds = tuple(map(_seed, seeds))
         self._listed: tuple[EntryVm, ...] = ()
-        self._random = random.Random(exchange.me.id.name)
+        self._random = random.Random(gossip.own_vm.id.name)
 
-    async def read_list(self) -> None:
+    async def read_registry(self) -> None:
         """Read the platform's list, or keep the last one."""
         try:
-            self._listed = await self._registry.listed()
+            self._listed = await self._registry.read()
         except GatewayError as exc:
             logging.info("the list of VMs cannot be read: %s", exc.kind.value)
 
-    async def ask(self, count: int) -> list[Here]:
+    async def find_peers(self, count: int) -> list[WhoReply]:
         """Ask some VMs that the view lacks who they are, at once.
 
         :param count: how many to ask at most.
         """
-        here: list[Here] = []
+        here: list[WhoReply] = []
         async with anyio.create_task_group() as tg:
             for vm in self._to_try(count):
                 tg.start_soon(self._who, vm, here)
-        return [answer for answer in here if answer.me.vm.id.name != self._exchange.me.id.name]
+        return [answer for answer in here if answer.me.vm.id.name != self._gossip.own_vm.id.name]
 
-    def latest_life(self, here: list[Here]) -> str:
+    def latest_own_incarnation(self, here: list[WhoReply]) -> str:
         """Return the latest incarnation of this VM's name that the list or a peer knew."""
-        name = self._exchange.me.id.name
+        name = self._gossip.own_vm.id.name
         known = [vm.id.incarnation for vm in self._listed if vm.id.name == name]
         known += [answer.you.vm.id.incarnation for answer in here if answer.you is not None]
         return max(known, default="")
 
     def _to_try(self, count: int) -> list[EntryVm]:
         """Return VMs that are not in the view, own data centre first, then seeds."""
-        me = self._exchange.me
+        me = self._gossip.own_vm
         unknown = [
             vm
             for vm in self._listed
-            if vm.id.name != me.id.name and not self._partners.is_alive(vm.id.name)
+            if vm.id.name != me.id.name and not self._partners.is_live(vm.id.name)
         ]
         self._random.shuffle(unknown)
         unknown.sort(key=lambda vm: vm.data_centre != me.data_centre)
@@ -97,11 +97,11 @@
         half = count // 2
         return unknown[: count - min(half, len(seeds))] + seeds[: max(half, count - len(unknown))]
 
-    async def _who(self, vm: EntryVm, here: list[Here]) -> None:
+    async def _who(self, vm: EntryVm, here: list[WhoReply]) -> None:
         # Whoever listens there may answer: the list may still name an earlier life.
         anyone = replace(vm, id=VmId(vm.id.name, ""))
         try:
-            here.append(await self._peers.ask(anyone, WHO, Who(self._exchange.me.id.name)))
+            here.append(await self._peers.ask(anyone, WHO, WhoRequest(self._gossip.own_vm.id.name)))
         except GatewayError:
             return
 
--- a/src/hickorybeam/peers/heartbeat.py
+++ b/src/hickorybeam/peers/heartbeat.py
@@ -16,15 +16,15 @@
     "PROBE",
     "WHO",
     "Heartbeat",
-    "Here",
-    "LoadNews",
-    "Probe",
-    "Probed",
-    "Who",
+    "WhoReply",
+    "LoadForecast",
+    "ProbeRequest",
+    "ProbeReply",
+    "WhoRequest",
 )
 
 
-class LoadNews(msgspec.Struct, frozen=True, array_like=True):
+class LoadForecast(msgspec.Struct, frozen=True, array_like=True):
     """What one region forecasts for one model or service.
 
     ``stamp`` is the wall time at the VM that made it; the later one wins. It travels as a bare
@@ -60,19 +60,19 @@
     same: bool = False
     members: tuple[MemberRecord, ...] = ()
     notes: dict[str, bytes] = field(default_factory=dict)
-    loads: tuple[LoadNews, ...] = ()
+    loads: tuple[LoadForecast, ...] = ()
     contacts: dict[str, int] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
-class Who:
+class WhoRequest:
     """Asks who listens at an address, before the asker has settled its own incarnation."""
 
     name: str
 
 
 @dataclass(frozen=True, slots=True)
-class Here:
+class WhoReply:
     """Who listens, and what it knows of the asker's name."""
 
     me: MemberRecord
@@ -80,19 +80,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Probe:
+class ProbeRequest:
     """Asks a peer to try a suspect."""
 
     suspect: EntryVm
 
 
 @dataclass(frozen=True, slots=True)
-class Probed:
+class ProbeReply:
     """Whether the suspect answered."""
 
     reached: bool
 
 
 HEARTBEAT = Topic("heartbeat", Heartbeat, Heartbeat, shared_stream=True)
-PROBE = Topic("probe", Probe, Probed)
-WHO = Topic("who", Who, Here)
+PROBE = Topic("probe", ProbeRequest, ProbeReply)
+WHO = Topic("who", WhoRequest, WhoReply)
--- a/src/hickorybeam/peers/members.py
+++ b/src/hickorybeam/peers/members.py
@@ -18,12 +18,25 @@
 from hickorybeam.errors import GatewayError, Ran
 from hickorybeam.kernel import Service
 from hickorybeam.model import EntryVm, VmId, VmState
-from hickorybeam.peers.exchange import Exchange
-from hickorybeam.peers.heartbeat import HEARTBEAT, PROBE, WHO, Heartbeat, Here, Probe, Probed, Who
-from hickorybeam.peers.partners import JITTER, WIDE_EVERY, Partners
+from hickorybeam.peers.discovery import Discovery, new_incarnation
+from hickorybeam.peers.gossip import GossipState
+from hickorybeam.peers.heartbeat import (
+    HEARTBEAT,
+    PROBE,
+    WHO,
+    Heartbeat,
+    ProbeReply,
+    ProbeRequest,
+    WhoReply,
+    WhoRequest,
+)
+from hickorybeam.peers.partners import (
+    HEARTBEAT_JITTER_FRACTION,
+    REMOTE_INTERVAL_HEARTBEATS,
+    Partners,
+)
 from hickorybeam.peers.registry import Registry
-from hickorybeam.peers.search import Search, new_incarnation
-from hickorybeam.peers.suspicion import Suspect, Verdict, judge
+from hickorybeam.peers.suspicion import PeerContact, Verdict, verdict_from
 from hickorybeam.store import Platform
 
 if TYPE_CHECKING:
@@ -34,7 +47,7 @@
     from hickorybeam.clock import Clock
     from hickorybeam.kernel import Kernel, Started
     from hickorybeam.model import RegionLoad
-    from hickorybeam.peers.exchange import News
+    from hickorybeam.peers.gossip import Updates
     from hickorybeam.settings import Settings
     from hickorybeam.telemetry import Counters
 
@@ -90,14 +103,14 @@
             peer_port=vm.peer_port,
             state=VmState.JOINING,
         )
-        self._exchange = Exchange(me, now_ms=clock.now(), wall_ms=clock.wall())
+        self._gossip = GossipState(me, now_ms=clock.now(), wall_ms=clock.wall())
         self._listeners: dict[str, list[Callable[[EntryVm, bytes], None]]] = {}
         self._heard_notes: dict[tuple[str, str], tuple[VmId, bytes]] = {}
-        self._suspects: dict[VmId, Suspect] = {}
+        self._contacts: dict[VmId, PeerContact] = {}
         self._unreachable: set[VmId] = set()
         self._busy: set[VmId] = set()
         self._asking: set[VmId] = set()
-        self._partners = Partners(self._exchange, cfg.peers)
+        self._partners = Partners(self._gossip, cfg.peers)
         self._ticks = 0
         self._ticked = anyio.Event()
         self._due_ms = float(clock.now())
@@ -106,7 +119,7 @@
         self._push = anyio.Event()
         self._cached: tuple[int, tuple[EntryVm, ...]] = (-1, ())
         self._tasks: TaskGroup | None = None
-        self._alive = counters.gauge("members_alive", "VMs believed alive", ("scope",))
+        self._live_gauge = counters.gauge("members_alive", "VMs believed alive", ("scope",))
         self._beats = counters.counter("heartbeats", "Heartbeats sent", ("outcome",))
         self._verdicts = counters.counter("suspicions", "Verdicts on silent peers", ("verdict",))
 
@@ -117,13 +130,13 @@
         self._registry = Registry(
             platform=kernel.find(ports.PLATFORM, Platform),  # type: ignore[type-abstract]
             clock=self._clock,
-            me=lambda: self.own_vm,
+            own_vm=lambda: self.own_vm,
             lease_ms=self._cfg.platform.lease_ms,
         )
-        self._search = Search(
+        self._discovery = Discovery(
             peers=self._peers,
             registry=self._registry,
-            exchange=self._exchange,
+            gossip=self._gossip,
             partners=self._partners,
             seeds=self._cfg.peers.seeds,
         )
@@ -134,7 +147,7 @@
     @property
     def own_vm(self) -> EntryVm:
         """The VM of this process."""
-        return self._exchange.me
+        return self._gossip.own_vm
 
     @property
     def lease(self) -> int | None:
@@ -143,8 +156,8 @@
 
     def vms(self) -> tuple[EntryVm, ...]:
         """Return the VMs believed alive, this one included, whatever their state."""
-        if self._cached[0] != self._exchange.generation:
-            self._cached = (self._exchange.generation, self._believed_alive())
+        if self._cached[0] != self._gossip.generation:
+            self._cached = (self._gossip.generation, self._believed_alive())
         return self._cached[1]
 
     def find(self, vm: VmId) -> EntryVm | None:
@@ -152,24 +165,24 @@
 
         VMs of a data centre that is cut off from here are found: they may well be alive.
         """
-        record = self._exchange.roster.get(vm.name)
-        return record.vm if record and record.alive and record.vm.id == vm else None
+        record = self._gossip.view.get(vm.name)
+        return record.vm if record and record.live and record.vm.id == vm else None
 
     def region_loads(self) -> tuple[RegionLoad, ...]:
         """Return the latest summary of every other region."""
-        return self._exchange.loads(self._clock.now())
+        return self._gossip.region_loads(self._clock.now())
 
     def report_load(self, loads: tuple[RegionLoad, ...]) -> None:
         """Set what this VM tells others of its region."""
         for load in loads:
-            self._exchange.report(load, wall_ms=self._clock.wall())
+            self._gossip.set_own_load(load, wall_ms=self._clock.wall())
 
     def publish(self, name: str, note: bytes, *, urgent: bool = False) -> None:
         """Set a small note that rides on the heartbeats to the peers that lack it.
 
         :param urgent: do not wait for the next heartbeat.
         """
-        if self._exchange.publish(name, note, urgent=urgent) and urgent:
+        if self._gossip.publish(name, note, urgent=urgent) and urgent:
             self._push.set()
 
     def subscribe(self, name: str, listener: Callable[[EntryVm, bytes], None]) -> None:
@@ -191,7 +204,7 @@
         now = self._clock.now()
         return {
             "me": self.own_vm.id.name,
-            "superseded": self._exchange.superseded,
+            "superseded": self._gossip.superseded,
             "cut_off": sorted(self._partners.cut_off(self._clock.now())),
             "vms": [
                 {
@@ -199,11 +212,11 @@
                     "incarnation": record.vm.id.incarnation,
                     "data_centre": record.vm.data_centre,
                     "state": record.vm.state.value,
-                    "alive": record.alive,
-                    "heard_ms_ago": now - suspect.heard_ms if suspect else None,
+                    "alive": record.live,
+                    "heard_ms_ago": now - suspect.last_seen_ms if suspect else None,
                 }
-                for record in self._exchange.roster
-                for suspect in (self._suspects.get(record.vm.id),)
+                for record in self._gossip.view
+                for suspect in (self._contacts.get(record.vm.id),)
             ],
         }
 
@@ -217,7 +230,7 @@
             tg.start_soon(self._push_news)
             while True:
                 # After its last word a VM is in no view, its own included, and tells no more.
-                if not self._exchange.mine.gone:
+                if not self._gossip.own_record.gone:
                     self._tick()
                 pause_ms = self._interval()
                 self._due_ms = self._clock.now() + pause_ms
@@ -228,14 +241,14 @@
 
     async def drain(self) -> None:
         """Say the last word to the neighbours and leave the platform's list."""
-        self._exchange.announce(
+        self._gossip.announce(
             replace(self.own_vm, state=VmState.LEAVING), wall_ms=self._clock.wall(), gone=True
         )
         with anyio.move_on_after(LEAVE_TIMEOUT_MS / 1000):
             async with anyio.create_task_group() as tg:
                 for vm in [
-                    *self._partners.fingers(),
-                    *self._partners.wide(self._clock.now(), push=True),
+                    *self._partners.local_partners(),
+                    *self._partners.remote_partners(self._clock.now(), push=True),
                 ]:
                     tg.start_soon(self._beat, vm)
                 tg.start_soon(self._end_listing)
@@ -245,41 +258,43 @@
     async def _join(self) -> None:
         """Learn from the list and the seeds who is there and what life of ours they knew."""
         with anyio.move_on_after(JOIN_TIMEOUT_MS / 1000):
-            await self._search.read_list()
-        here = await self._search.ask(VMS_TRIED_AT_JOIN)
-        latest = self._search.latest_life(here)
+            await self._discovery.read_registry()
+        here = await self._discovery.find_peers(VMS_TRIED_AT_JOIN)
+        latest = self._discovery.latest_own_incarnation(here)
         me = replace(self.own_vm, peer_port=self._listener.port)
         if latest >= me.id.incarnation:
             incarnation = new_incarnation(self._clock.wall(), after=latest)
             me = replace(me, id=VmId(me.id.name, incarnation))
-        self._exchange.announce(me, wall_ms=self._clock.wall())
+        self._gossip.announce(me, wall_ms=self._clock.wall())
         for answer in here:
-            self._exchange.meet(answer.me)
+            self._gossip.add_peer(answer.me)
 
-    async def _on_who(self, sender: VmId, who: Who) -> Here:
-        return Here(self._exchange.mine, self._exchange.roster.get(who.name))
+    async def _on_who(self, sender: VmId, who: WhoRequest) -> WhoReply:
+        return WhoReply(self._gossip.own_record, self._gossip.view.get(who.name))
 
     # Heartbeats.
 
     def _interval(self) -> float:
-        return self._cfg.peers.heartbeat_ms * (1 + self._random.uniform(-JITTER, JITTER))
+        return self._cfg.peers.heartbeat_ms * (
+            1 + self._random.uniform(-HEARTBEAT_JITTER_FRACTION, HEARTBEAT_JITTER_FRACTION)
+        )
 
     def _tick(self) -> None:
         self._ticks += 1
-        local = self._partners.fingers()
+        local = self._partners.local_partners()
         if local:
             self._spawn(local[0])
         if len(local) > 1 and self._ticks % FINGER_EVERY == 0:
             self._spawn(local[1 + self._ticks // FINGER_EVERY % (len(local) - 1)])
-        if self._ticks % WIDE_EVERY == 0:
-            for vm in self._partners.wide(self._clock.now()):
+        if self._ticks % REMOTE_INTERVAL_HEARTBEATS == 0:
+            for vm in self._partners.remote_partners(self._clock.now()):
                 self._spawn(vm)
         if self._ticks % TRY_EVERY == 0:
             self._start(self._try_departed)
         if self._ticks % LIST_EVERY == 0 or (not local and self._ticks % TRY_EVERY == 0):
-            self._start(self._look_around)
+            self._start(self._discover_missing)
         if self._ticks % TIDY_EVERY == 0:
-            self._tidy()
+            self._prune()
         self._cached = (-1, ())
 
     def _spawn(self, vm: EntryVm) -> None:
@@ -297,7 +312,7 @@
         if vm.id in self._busy:
             return False
         self._busy.add(vm.id)
-        request = self._exchange.request(vm)
+        request = self._gossip.next_heartbeat(vm)
         try:
             reply = await self._peers.ask(vm, HEARTBEAT, request, timeout_ms=self._patience(vm))
         except GatewayError as exc:
@@ -308,19 +323,19 @@
             self._busy.discard(vm.id)
         self._beats.labels("ok").inc()
         self._heard_from(vm.id)
-        self._partners.wide_answered(vm.data_centre)
-        news = self._exchange.on_reply(
+        self._partners.record_remote_success(vm.data_centre)
+        updates = self._gossip.on_reply(
             vm.id, request, reply, now_ms=self._clock.now(), wall_ms=self._clock.wall()
         )
-        self._spread(vm.id, news)
+        self._spread(vm.id, updates)
         return True
 
     async def _on_heartbeat(self, sender: VmId, beat: Heartbeat) -> Heartbeat:
         self._heard_from(sender)
-        reply, news = self._exchange.on_request(
+        reply, updates = self._gossip.on_request(
             sender, beat, now_ms=self._clock.now(), wall_ms=self._clock.wall()
         )
-        self._spread(sender, news)
+        self._spread(sender, updates)
         return reply
 
     def _patience(self, vm: EntryVm) -> int:
@@ -330,16 +345,16 @@
 
     def _heard_from(self, vm: VmId) -> None:
         self._unreachable.discard(vm)
-        suspect = self._suspects.setdefault(vm, Suspect(self._clock.now()))
-        suspect.heard(self._clock.now())
+        suspect = self._contacts.setdefault(vm, PeerContact(self._clock.now()))
+        suspect.record_contact(self._clock.now())
 
-    def _spread(self, sender: VmId, news: News) -> None:
-        if news.members:
+    def _spread(self, sender: VmId, updates: Updates) -> None:
+        if updates.members:
             self._push.set()
-        record = self._exchange.roster.get(sender.name)
+        record = self._gossip.view.get(sender.name)
         if record is None:
             return
-        for note in news.notes:
+        for note in updates.notes:
             # A note rides on every heartbeat until one is known to have arrived; two that
             # cross bring it twice.
             heard = (sender, note.data)
@@ -356,24 +371,31 @@
             # Some of the neighbours hear it from others meanwhile, and more news may come.
             await self._clock.sleep(self._random.uniform(0, 2 * PUSH_SPACING_MS))
             self._push = anyio.Event()
-            local = [vm for vm in self._partners.fingers() if self._exchange.owes(vm.id)]
+            local = [
+                vm
+                for vm in self._partners.local_partners()
+                if self._gossip.has_urgent_updates(vm.id)
+            ]
             self._random.shuffle(local)
-            for vm in (*local[:PUSH_FANOUT], *self._partners.wide(self._clock.now(), push=True)):
-                if self._exchange.owes(vm.id):
+            for vm in (
+                *local[:PUSH_FANOUT],
+                *self._partners.remote_partners(self._clock.now(), push=True),
+            ):
+                if self._gossip.has_urgent_updates(vm.id):
                     self._spawn(vm)
 
     # Failures.
 
     def _missed(self, vm: EntryVm, exc: GatewayError) -> None:
         if vm.data_centre != self.own_vm.data_centre:
-            self._partners.wide_missed(vm.data_centre)
+            self._partners.record_remote_failure(vm.data_centre)
             return
         if self.find(vm.id) is None:
             return
-        suspect = self._suspects.setdefault(vm.id, Suspect(self._clock.now()))
+        suspect = self._contacts.setdefault(vm.id, PeerContact(self._clock.now()))
         refused = _is_refused(exc)
         silent_ms = self._cfg.peers.silent_after_ms
-        if suspect.failed(self._clock.now(), refused=refused, silent_after_ms=silent_ms):
+        if suspect.record_failure(self._clock.now(), refused=refused, silent_after_ms=silent_ms):
             self._start(self._ask_others, vm)
 
     async def _ask_others(self, vm: EntryVm) -> None:
@@ -389,20 +411,20 @@
                     tg.start_soon(self._ask_other, other, vm, reached)
         finally:
             self._asking.discard(vm.id)
-        verdict = judge(reached)
+        verdict = verdict_from(reached)
         if verdict is not Verdict.REACHED_BY_OTHERS and await self._stood_still_since(began_ms):
             # Answers that came meanwhile were read too late; the next miss asks again.
             return
         self._verdicts.labels(verdict.value).inc()
         match verdict:
             case Verdict.SILENT:
-                if self._exchange.accuse(vm.id, wall_ms=self._clock.wall()):
+                if self._gossip.mark_silent(vm.id, wall_ms=self._clock.wall()):
                     logging.info("VM %s is silent", vm.id.name)
                     self._push.set()
             case Verdict.UNCONFIRMED:
                 self._unreachable.add(vm.id)
             case Verdict.REACHED_BY_OTHERS:
-                self._suspects[vm.id] = Suspect(self._clock.now())
+                self._contacts[vm.id] = PeerContact(self._clock.now())
                 # It may never be heard here itself: only its own partners are.
                 self._unreachable.discard(vm.id)
         self._cached = (-1, ())
@@ -419,23 +441,25 @@
     ) -> None:
         timeout_ms = 2 * self._patience(other)
         try:
-            probed = await self._peers.ask(other, PROBE, Probe(suspect), timeout_ms=timeout_ms)
+            probed = await self._peers.ask(
+                other, PROBE, ProbeRequest(suspect), timeout_ms=timeout_ms
+            )
         except GatewayError:
             reached.append(None)
             return
         reached.append(probed.reached)
 
-    async def _on_probe(self, sender: VmId, probe: Probe) -> Probed:
+    async def _on_probe(self, sender: VmId, probe: ProbeRequest) -> ProbeReply:
         try:
-            request = Who(self.own_vm.id.name)
+            request = WhoRequest(self.own_vm.id.name)
             timeout_ms = self._patience(probe.suspect)
             await self._peers.ask(probe.suspect, WHO, request, timeout_ms=timeout_ms)
         except GatewayError:
             # Nobody may be able to connect to a VM that still reaches others: then its
             # heartbeats prove it alive, and to accuse it would start a quarrel without end.
             await self._catch_up()
-            return Probed(reached=self._heard_lately(probe.suspect.id))
-        return Probed(reached=True)
+            return ProbeReply(reached=self._heard_lately(probe.suspect.id))
+        return ProbeReply(reached=True)
 
     def _allow_for_stall(self, late_ms: float) -> None:
         """Leave the time that this process stood still out of the others' silence.
@@ -449,9 +473,9 @@
         now = self._clock.now()
         if late_ms > self._long_ms:
             self._stood_still_ms = now
-            self._exchange.excuse(round(late_ms), now)
-        for suspect in self._suspects.values():
-            suspect.excuse(round(late_ms), now)
+            self._gossip.exclude_pause(round(late_ms), now)
+        for suspect in self._contacts.values():
+            suspect.exclude_pause(round(late_ms), now)
 
     async def _stood_still_since(self, began_ms: int) -> bool:
         """Whether this process stood still since then."""
@@ -468,26 +492,28 @@
             await self._ticked.wait()
 
     def _heard_lately(self, vm: VmId) -> bool:
-        suspect = self._suspects.get(vm)
+        suspect = self._contacts.get(vm)
         limit_ms = HEARD_LATELY * self._cfg.peers.heartbeat_ms
-        return suspect is not None and self._clock.now() - suspect.heard_ms <= limit_ms
+        return suspect is not None and self._clock.now() - suspect.last_seen_ms <= limit_ms
 
     async def _try_departed(self) -> None:
         """Try a VM that fell silent, in case a partition that made both sides accuse is over."""
         silent = [
             record.vm
-            for record in self._exchange.roster
-            if record.silent and not record.gone and record.vm.data_centre == self.own_vm.data_centre
+            for record in self._gossip.view
+            if record.silent
+            and not record.gone
+            and record.vm.data_centre == self.own_vm.data_centre
         ]
         if silent:
             await self._beat(self._random.choice(silent))
 
-    async def _look_around(self) -> None:
+    async def _discover_missing(self) -> None:
         """Read the list for VMs that the view lacks, as when two halves never met."""
-        if self._partners.reads_list():
-            await self._search.read_list()
-            for answer in await self._search.ask(VMS_TRIED_IN_PASSING):
-                self._exchange.meet(answer.me)
+        if self._partners.reads_registry():
+            await self._discovery.read_registry()
+            for answer in await self._discovery.find_peers(VMS_TRIED_IN_PASSING):
+                self._gossip.add_peer(answer.me)
                 await self._beat(answer.me.vm)
 
     # The view.
@@ -496,27 +522,27 @@
         cut_off = self._partners.cut_off(self._clock.now())
         return tuple(
             record.vm
-            for record in self._exchange.roster
-            if record.alive
+            for record in self._gossip.view
+            if record.live
             and record.vm.id not in self._unreachable
             and record.vm.data_centre not in cut_off
         )
 
     def _announce(self, me: EntryVm) -> None:
-        self._exchange.announce(me, wall_ms=self._clock.wall())
+        self._gossip.announce(me, wall_ms=self._clock.wall())
         self._push.set()
-        self._registry.changed()
+        self._registry.mark_changed()
 
-    def _tidy(self) -> None:
-        self._exchange.tidy(self._clock.wall())
-        self._suspects = {vm: s for vm, s in self._suspects.items() if self.find(vm)}
+    def _prune(self) -> None:
+        self._gossip.prune(self._clock.wall())
+        self._contacts = {vm: s for vm, s in self._contacts.items() if self.find(vm)}
         self._unreachable = {vm for vm in self._unreachable if self.find(vm)}
-        self._alive.labels("fleet").set(len(self.vms()))
-        self._alive.labels("data_centre").set(len(self._partners.local()))
+        self._live_gauge.labels("fleet").set(len(self.vms()))
+        self._live_gauge.labels("data_centre").set(len(self._partners.local()))
 
     async def _end_listing(self) -> None:
         try:
-            await self._registry.end()
+            await self._registry.deregister()
         except GatewayError as exc:
             logging.info("the entry stays listed until its lease lapses: %s", exc.kind.value)
 
--- a/src/hickorybeam/peers/registry.py
+++ b/src/hickorybeam/peers/registry.py
@@ -32,22 +32,22 @@
 class Registry:
     """Keeps one VM's entry in the platform.
 
-    :param me: returns the VM as it is to be listed now.
+    :param own_vm: returns the VM as it is to be listed now.
     :param lease_ms: how long the entry outlives its VM.
     """
 
     def __init__(
-        self, *, platform: Platform, clock: Clock, me: Callable[[], EntryVm], lease_ms: int
+        self, *, platform: Platform, clock: Clock, own_vm: Callable[[], EntryVm], lease_ms: int
     ) -> None:
         self.lease: int | None = None
         self._platform = platform
         self._clock = clock
-        self._me = me
+        self._own_vm = own_vm
         self._lease_ms = lease_ms
         self._listed: EntryVm | None = None
         self._changed = anyio.Event()
 
-    def changed(self) -> None:
+    def mark_changed(self) -> None:
         """Write the entry again soon."""
         self._changed.set()
 
@@ -65,12 +65,12 @@
                 await self._changed.wait()
                 tg.cancel_scope.cancel()
 
-    async def listed(self) -> tuple[EntryVm, ...]:
+    async def read(self) -> tuple[EntryVm, ...]:
         """Read the list; entries that cannot be read are left out."""
         found = await self._platform.read_prefix(VM_PREFIX)
         return tuple(vm for item in found.items if (vm := _read(item.value)) is not None)
 
-    async def end(self) -> None:
+    async def deregister(self) -> None:
         """Take the entry off the list."""
         if self.lease is not None:
             await self._platform.revoke(self.lease)
@@ -85,11 +85,11 @@
             self._listed = None
         else:
             await self._platform.keep_alive(self.lease)
-        me = self._me()
-        if self._listed != me:
-            entry = Put(VM_PREFIX + me.id.name, pack(me), self.lease)
+        own_vm = self._own_vm()
+        if self._listed != own_vm:
+            entry = Put(VM_PREFIX + own_vm.id.name, pack(own_vm), self.lease)
             await self._platform.txn((), (entry,))
-            self._listed = me
+            self._listed = own_vm
 
 
 def _read(value: bytes) -> EntryVm | None:
--- a/src/hickorybeam/peers/ring.py
+++ b/src/hickorybeam/peers/ring.py
@@ -17,7 +17,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-__all__ = ("delegates", "fingers", "ring_order")
+__all__ = ("delegate_order", "heartbeat_partners", "ring_order")
 
 
 def _place(*parts: str) -> bytes:
@@ -29,7 +29,7 @@
     return tuple(sorted(names, key=_place))
 
 
-def fingers(me: str, names: Iterable[str]) -> tuple[str, ...]:
+def heartbeat_partners(me: str, names: Iterable[str]) -> tuple[str, ...]:
     """Return the VMs that I heartbeat: my successor first, then 2, 4, 8... places on.
 
     :param names: VMs of my data centre, with or without me.
@@ -44,7 +44,7 @@
     return tuple(chosen)
 
 
-def delegates(names: Iterable[str], *, of: str, towards: str) -> tuple[str, ...]:
+def delegate_order(names: Iterable[str], *, of: str, towards: str) -> tuple[str, ...]:
     """Return VMs in the order in which they speak for a data centre towards another one.
 
     The first is the delegate; each next one takes over when those before it bring no news.
--- a/src/hickorybeam/peers/server.py
+++ b/src/hickorybeam/peers/server.py
@@ -14,44 +14,44 @@
 from grpclib.server import Server
 
 from hickorybeam.peers.codec import MessagePackCodec
-from hickorybeam.peers.connections import AbortableProtocol, keep_alive
+from hickorybeam.peers.connections import AbortableProtocol, with_pings
 from hickorybeam.peers.wire import (
     ASK_METHOD,
     FORWARD_METHOD,
-    TALK_METHOD,
-    Answered,
-    Ask,
-    Forward,
-    NumberedAsk,
-    Parts,
+    SHARED_STREAM_METHOD,
+    AskReply,
+    AskRequest,
+    ForwardRequest,
+    NumberedRequest,
+    ResponseParts,
 )
 
 if TYPE_CHECKING:
     import ssl
     from collections.abc import AsyncGenerator
 
-__all__ = ("PeerServer", "Receiver")
+__all__ = ("PeerServer", "RequestHandler")
 
 # As many as HTTP/2 streams of a connection would admit.
-MAX_REQUESTS_AT_ONCE = 100
+MAX_CONCURRENT_REQUESTS = 100
 
 # What sending raises once the other end has gone.
-GONE = (h2.exceptions.ProtocolError, StreamTerminatedError)
+PEER_CLOSED_ERRORS = (h2.exceptions.ProtocolError, StreamTerminatedError)
 
 # The library logs a line for every call that its sender cancelled, which is daily business.
 logging.getLogger("grpclib.server").setLevel(logging.WARNING)
 
 
-class Receiver(Protocol):
+class RequestHandler(Protocol):
     """What answers the calls; errors are part of its answers."""
 
-    async def on_ask(self, ask: Ask, certificate: dict[str, Any] | None) -> Answered:
+    async def on_ask(self, ask: AskRequest, certificate: dict[str, Any] | None) -> AskReply:
         """Answer one request."""
         ...
 
     def on_forward(
-        self, forward: Forward, certificate: dict[str, Any] | None
-    ) -> AsyncGenerator[Parts, None]:
+        self, forward: ForwardRequest, certificate: dict[str, Any] | None
+    ) -> AsyncGenerator[ResponseParts, None]:
         """Run a forwarded call; cancelled when the sender goes away."""
         ...
 
@@ -59,17 +59,21 @@
 class PeerServer(Server):  # type: ignore[misc]
     """grpclib's server over our codec, on one port."""
 
-    def __init__(self, receiver: Receiver, *, silent_after_ms: int) -> None:
+    def __init__(self, receiver: RequestHandler, *, silent_after_ms: int) -> None:
         self._receiver = receiver
         self._protocols: list[AbortableProtocol] = []
-        super().__init__([self], codec=MessagePackCodec(), config=keep_alive(silent_after_ms))
+        super().__init__([self], codec=MessagePackCodec(), config=with_pings(silent_after_ms))
 
     def __mapping__(self) -> dict[str, Handler]:
         """Return the methods, as grpclib asks for them."""
         return {
-            ASK_METHOD: Handler(self._ask, Cardinality.UNARY_UNARY, Ask, Answered),
-            TALK_METHOD: Handler(self._talk, Cardinality.STREAM_STREAM, NumberedAsk, Answered),
-            FORWARD_METHOD: Handler(self._forward, Cardinality.UNARY_STREAM, Forward, Parts),
+            ASK_METHOD: Handler(self._ask, Cardinality.UNARY_UNARY, AskRequest, AskReply),
+            SHARED_STREAM_METHOD: Handler(
+                self._serve_shared_stream, Cardinality.STREAM_STREAM, NumberedRequest, AskReply
+            ),
+            FORWARD_METHOD: Handler(
+                self._forward, Cardinality.UNARY_STREAM, ForwardRequest, ResponseParts
+            ),
         }
 
     async def listen(self, host: str, port: int, *, tls: ssl.SSLContext | None) -> int:
@@ -105,26 +109,26 @@
         return protocol
 
     async def _ask(self, stream: Any) -> None:
-        ask: Ask = await stream.recv_message()
+        ask: AskRequest = await stream.recv_message()
         await stream.send_message(await self._receiver.on_ask(ask, stream.peer.cert()))
 
-    async def _talk(self, stream: Any) -> None:
+    async def _serve_shared_stream(self, stream: Any) -> None:
         _stop_pings(stream)
         sending = anyio.Lock()
-        room = anyio.Semaphore(MAX_REQUESTS_AT_ONCE)
+        room = anyio.Semaphore(MAX_CONCURRENT_REQUESTS)
         async with anyio.create_task_group() as tg:
             async for numbered in stream:
                 await room.acquire()
                 tg.start_soon(self._reply, stream, numbered, sending, room)
 
     async def _reply(
-        self, stream: Any, numbered: NumberedAsk, sending: anyio.Lock, room: anyio.Semaphore
+        self, stream: Any, numbered: NumberedRequest, sending: anyio.Lock, room: anyio.Semaphore
     ) -> None:
         try:
             answered = await self._receiver.on_ask(numbered.ask, stream.peer.cert())
             async with sending:
                 await stream.send_message(replace(answered, number=numbered.number))
-        except GONE:
+        except PEER_CLOSED_ERRORS:
             # The asker closed the stream or died: nobody waits for this reply, and an error
             # here would be logged for every VM that leaves.
             return
@@ -132,7 +136,7 @@
             room.release()
 
     async def _forward(self, stream: Any) -> None:
-        forward: Forward = await stream.recv_message()
+        forward: ForwardRequest = await stream.recv_message()
         async with aclosing(self._receiver.on_forward(forward, stream.peer.cert())) as answer:
             async for parts in answer:
                 await stream.send_message(parts)
--- a/src/hickorybeam/peers/service.py
+++ b/src/hickorybeam/peers/service.py
@@ -19,7 +19,7 @@
 from hickorybeam.peers.connections import Address, ConnectionPool
 from hickorybeam.peers.server import PeerServer
 from hickorybeam.peers.tls import check_certificate, client_context, server_context
-from hickorybeam.peers.wire import Answered, Ask, Forward, Parts, to_wire
+from hickorybeam.peers.wire import AskReply, AskRequest, ForwardRequest, ResponseParts, to_wire
 
 if TYPE_CHECKING:
     import ssl
@@ -28,7 +28,7 @@
     from hickorybeam.clock import Clock
     from hickorybeam.kernel import Kernel, Started
     from hickorybeam.model import Call, EntryVm, ResponsePart, VmId
-    from hickorybeam.peers.conversation import Conversation
+    from hickorybeam.peers.shared_stream import SharedStream
     from hickorybeam.settings import Settings
     from hickorybeam.telemetry import Counters
 
@@ -80,7 +80,7 @@
         server = PeerServer(self, silent_after_ms=cfg.silent_after_ms)
         async with anyio.create_task_group() as tg:
 
-            def start(talk: Conversation) -> None:
+            def start(talk: SharedStream) -> None:
                 tg.start_soon(talk.run, cfg.call_timeout_ms, TRANSPORT_ERRORS)
 
             self._connections = ConnectionPool(
@@ -137,11 +137,11 @@
         self, vm: EntryVm, topic: ports.Topic[Q, R], request: Q, *, timeout_ms: int | None = None
     ) -> R:
         """Send one typed request to a peer and return its reply."""
-        ask = Ask(sender=self._me(), to=vm.id, topic=topic.name, body=pack(request))
+        ask = AskRequest(sender=self._me(), to=vm.id, topic=topic.name, body=pack(request))
         timeout_ms = self._cfg.peers.call_timeout_ms if timeout_ms is None else timeout_ms
         with self._counted(topic.name):
             client = self._ready()
-            send = client.ask_steadily if topic.shared_stream else client.ask
+            send = client.ask_on_shared_stream if topic.shared_stream else client.ask
             body = await send(self._address(vm), ask, timeout_ms=timeout_ms)
             try:
                 return unpack(topic.reply, body)
@@ -152,7 +152,7 @@
         """Run a call at another VM, one hop at most, and yield the answer's parts."""
         if call.hops:
             raise GatewayError(ErrorKind.HOP_LIMIT, ran=Ran.NO)
-        forward = Forward(sender=self._me(), to=vm.id, call=call)
+        forward = ForwardRequest(sender=self._me(), to=vm.id, call=call)
         with self._counted("forward"):
             async with aclosing(self._ready().forward(self._address(vm), forward)) as parts:
                 async for part in parts:
@@ -168,20 +168,20 @@
             return self._find(ports.ONCE, ports.IdempotentCalls)  # type: ignore[type-abstract]
         return self._find(ports.DISPATCH, ports.Dispatch)  # type: ignore[type-abstract]
 
-    async def on_ask(self, ask: Ask, certificate: dict[str, Any] | None) -> Answered:
+    async def on_ask(self, ask: AskRequest, certificate: dict[str, Any] | None) -> AskReply:
         """Answer one request of a peer."""
         try:
             self._check_peer(ask.sender, ask.to, certificate)
             handler = self._handlers.get(ask.topic)
             if handler is None:
                 raise GatewayError(ErrorKind.BAD_REQUEST, f"no topic {ask.topic!r}")
-            return Answered(body=await handler(ask.sender, ask.body))
+            return AskReply(body=await handler(ask.sender, ask.body))
         except Exception as exc:
-            return Answered(error=to_wire(self._refusal(exc)))
+            return AskReply(error=to_wire(self._refusal(exc)))
 
     async def on_forward(
-        self, forward: Forward, certificate: dict[str, Any] | None
-    ) -> AsyncGenerator[Parts, None]:
+        self, forward: ForwardRequest, certificate: dict[str, Any] | None
+    ) -> AsyncGenerator[ResponseParts, None]:
         """Run a forwarded call here or refuse it."""
         self._running += 1
         try:
@@ -193,7 +193,7 @@
                 async for part in parts:
                     yield _message(part)
         except Exception as exc:
-            yield Parts(error=to_wire(self._refusal(exc)))
+            yield ResponseParts(error=to_wire(self._refusal(exc)))
         finally:
             self._running -= 1
 
@@ -262,11 +262,11 @@
             await close()
 
 
-def _message(part: ResponsePart) -> Parts:
+def _message(part: ResponsePart) -> ResponseParts:
     match part:
         case ResponseHead():
-            return Parts(head=part)
+            return ResponseParts(head=part)
         case ResponseChunk():
-            return Parts(chunks=(part,))
+            return ResponseParts(chunks=(part,))
         case _:
-            return Parts(end=part)
+            return ResponseParts(end=part)
--- a/src/hickorybeam/peers/conversation.py
+++ b/src/hickorybeam/peers/shared_stream.py
@@ -14,16 +14,21 @@
 
 from hickorybeam.clock import MS_PER_SECOND
 from hickorybeam.kernel import Reply
-from hickorybeam.peers.wire import TALK_METHOD, Answered, NumberedAsk, TransportEndedError
+from hickorybeam.peers.wire import (
+    SHARED_STREAM_METHOD,
+    AskReply,
+    NumberedRequest,
+    TransportEndedError,
+)
 
 if TYPE_CHECKING:
     from hickorybeam.peers.connections import PeerChannel
-    from hickorybeam.peers.wire import Ask
+    from hickorybeam.peers.wire import AskRequest
 
-__all__ = ("Conversation",)
+__all__ = ("SharedStream",)
 
 
-class Conversation:
+class SharedStream:
     """One stream to a peer; its task owns the stream, askers wait for their replies.
 
     :param channel: a connection of its own, which ends with the conversation.
@@ -34,7 +39,7 @@
         self.heard = 0
         self._channel = channel
         self._opened: Reply[Any] = Reply()
-        self._waiting: dict[int, Reply[Answered]] = {}
+        self._waiting: dict[int, Reply[AskReply]] = {}
         self._number = 0
         self._sending = anyio.Lock()
         self._scope = anyio.CancelScope()
@@ -71,19 +76,19 @@
         """Wait for the stream and return it, or raise why it did not open."""
         return await self._opened.wait()
 
-    async def ask(self, stream: Any, ask: Ask) -> Answered:
+    async def ask(self, stream: Any, ask: AskRequest) -> AskReply:
         """Send one request and wait for its reply."""
         self._number += 1
         number = self._number
         reply = self._waiting[number] = Reply()
         try:
             async with self._sending:
-                await self._send(stream, NumberedAsk(number=number, ask=ask))
+                await self._send(stream, NumberedRequest(number=number, ask=ask))
             return await reply.wait()
         finally:
             self._waiting.pop(number, None)
 
-    async def _send(self, stream: Any, message: NumberedAsk) -> None:
+    async def _send(self, stream: Any, message: NumberedRequest) -> None:
         try:
             await stream.send_message(message)
         except BaseException:
@@ -92,7 +97,9 @@
             raise
 
     async def _converse(self, connect_timeout_ms: int) -> None:
-        call = self._channel.request(TALK_METHOD, Cardinality.STREAM_STREAM, NumberedAsk, Answered)
+        call = self._channel.request(
+            SHARED_STREAM_METHOD, Cardinality.STREAM_STREAM, NumberedRequest, AskReply
+        )
         async with call as stream:
             with anyio.fail_after(connect_timeout_ms / MS_PER_SECOND):
                 await stream.send_request()
--- a/src/hickorybeam/peers/suspicion.py
+++ b/src/hickorybeam/peers/suspicion.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-__all__ = ("Suspect", "Verdict", "judge")
+__all__ = ("PeerContact", "Verdict", "verdict_from")
 
 
 class Verdict(Enum):
@@ -27,32 +27,32 @@
 
 
 @dataclass(slots=True)
-class Suspect:
+class PeerContact:
     """What one VM knows of its contact with a peer; times are ms of its own clock."""
 
-    heard_ms: int
+    last_seen_ms: int
     failures: int = 0
 
-    def heard(self, now_ms: int) -> None:
+    def record_contact(self, now_ms: int) -> None:
         """Note a sign of life."""
-        self.heard_ms = now_ms
+        self.last_seen_ms = now_ms
         self.failures = 0
 
-    def excuse(self, ms: int, now_ms: int) -> None:
+    def exclude_pause(self, ms: int, now_ms: int) -> None:
         """Leave out a time in which this VM could not hear anything."""
-        self.heard_ms = min(now_ms, self.heard_ms + ms)
+        self.last_seen_ms = min(now_ms, self.last_seen_ms + ms)
 
-    def failed(self, now_ms: int, *, refused: bool, silent_after_ms: int) -> bool:
+    def record_failure(self, now_ms: int, *, refused: bool, silent_after_ms: int) -> bool:
         """Note an unanswered heartbeat.
 
         :param refused: the peer's machine answered that nothing listens there.
         :return: whether it is time to ask others.
         """
         self.failures += 1
-        return refused or now_ms - self.heard_ms >= silent_after_ms
+        return refused or now_ms - self.last_seen_ms >= silent_after_ms
 
 
-def judge(reached: Iterable[bool | None]) -> Verdict:
+def verdict_from(reached: Iterable[bool | None]) -> Verdict:
     """Return the verdict on a suspect.
 
     :param reached: for each VM asked, whether it reached the suspect; ``None`` when it did
--- a/src/hickorybeam/peers/view.py
+++ b/src/hickorybeam/peers/view.py
@@ -23,12 +23,12 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-__all__ = ("FORGET_MS", "MemberRecord", "Roster", "newer")
+__all__ = ("DEPARTED_RETENTION_MS", "MemberRecord", "MembershipView", "winning_record")
 
 # Records of VMs that left or fell silent are kept this long by the wall clock, longer than
 # regions lose each other (an hour now and then): old news of a departed VM that comes out of
 # a healed partition still meets its tombstone. 73 replacements a day leave about ten.
-FORGET_MS = 3 * 3_600_000
+DEPARTED_RETENTION_MS = 3 * 3_600_000
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -46,7 +46,7 @@
     at_ms: int = 0
 
     @property
-    def alive(self) -> bool:
+    def live(self) -> bool:
         """Whether the VM is believed to run."""
         return not (self.silent or self.gone)
 
@@ -63,14 +63,14 @@
     )
 
 
-def newer(one: MemberRecord, other: MemberRecord) -> MemberRecord:
+def winning_record(one: MemberRecord, other: MemberRecord) -> MemberRecord:
     """Return the winner of two records of one VM name."""
     if one is other or one == other:
         return one
     return one if _rank(one) > _rank(other) else other
 
 
-class Roster:
+class MembershipView:
     """The records of one VM's view."""
 
     def __init__(self) -> None:
@@ -99,32 +99,32 @@
         """
         name = record.vm.id.name
         known = self._records.get(name)
-        if known is not None and newer(known, record) is known:
+        if known is not None and winning_record(known, record) is known:
             return False
         self._records[name] = record
         self._digest ^= _fingerprint(record) ^ (_fingerprint(known) if known else 0)
         return True
 
-    def forget(self, wall_ms: int) -> tuple[str, ...]:
+    def remove_departed(self, wall_ms: int) -> tuple[str, ...]:
         """Drop records of VMs long departed and return their names."""
         old = tuple(
             name
             for name, record in self._records.items()
-            if not record.alive and wall_ms - record.at_ms > FORGET_MS
+            if not record.live and wall_ms - record.at_ms > DEPARTED_RETENTION_MS
         )
         for name in old:
             self._digest ^= _fingerprint(self._records.pop(name))
         return old
 
 
-def accuse(record: MemberRecord, wall_ms: int) -> MemberRecord:
+def mark_silent(record: MemberRecord, wall_ms: int) -> MemberRecord:
     """Return the record as that of a VM which fell silent."""
     return replace(record, silent=True, at_ms=wall_ms)
 
 
-def refute(mine: MemberRecord, heard: MemberRecord, wall_ms: int) -> MemberRecord:
+def refute(own_record: MemberRecord, heard: MemberRecord, wall_ms: int) -> MemberRecord:
     """Return my record at a version that wins over what others say of me."""
-    return replace(mine, version=max(mine.version, heard.version) + 1, at_ms=wall_ms)
+    return replace(own_record, version=max(own_record.version, heard.version) + 1, at_ms=wall_ms)
 
 
 def _fingerprint(record: MemberRecord) -> int:
--- a/src/hickorybeam/peers/wire.py
+++ b/src/hickorybeam/peers/wire.py
@@ -10,11 +10,11 @@
 from hickorybeam.model import Call, ResponseChunk, ResponseEnd, ResponseHead, VmId  # noqa: TC001
 
 __all__ = (
-    "Answered",
-    "Ask",
-    "Forward",
-    "NumberedAsk",
-    "Parts",
+    "AskReply",
+    "AskRequest",
+    "ForwardRequest",
+    "NumberedRequest",
+    "ResponseParts",
     "TransportEndedError",
     "WireError",
     "to_error",
@@ -22,7 +22,7 @@
 )
 
 ASK_METHOD = "/hickorybeam.Peer/Ask"
-TALK_METHOD = "/hickorybeam.Peer/Talk"
+SHARED_STREAM_METHOD = "/hickorybeam.Peer/Talk"
 FORWARD_METHOD = "/hickorybeam.Peer/Forward"
 
 
@@ -43,7 +43,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Ask:
+class AskRequest:
     """One request of a topic; ``to`` with an empty incarnation means whoever listens there."""
 
     sender: VmId
@@ -53,15 +53,15 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class NumberedAsk:
+class NumberedRequest:
     """A request on a long-lived stream; its reply has the same number."""
 
     number: int
-    ask: Ask
+    ask: AskRequest
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Answered:
+class AskReply:
     """The reply to an ``Ask``: a body or an error; numbered on a long-lived stream."""
 
     body: bytes = b""
@@ -70,7 +70,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Forward:
+class ForwardRequest:
     """A call to run at the receiver and nowhere else."""
 
     sender: VmId
@@ -79,7 +79,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Parts:
+class ResponseParts:
     """Some parts of an answer, in their order; the last message carries ``end`` or ``error``."""
 
     head: ResponseHead | None = None
--- a/tests/steps/peers/decision_steps.py
+++ b/tests/steps/peers/decision_steps.py
@@ -17,10 +17,10 @@
 
 from hickorybeam.model import EntryVm, RegionLoad, VmId, VmState
 from hickorybeam.peers import ring
-from hickorybeam.peers.exchange import Exchange
-from hickorybeam.peers.search import new_incarnation
-from hickorybeam.peers.suspicion import Suspect, judge
-from hickorybeam.peers.view import MemberRecord, Roster, newer
+from hickorybeam.peers.discovery import new_incarnation
+from hickorybeam.peers.gossip import GossipState
+from hickorybeam.peers.suspicion import PeerContact, verdict_from
+from hickorybeam.peers.view import MemberRecord, MembershipView, winning_record
 from hickorybeam.policy.entry_order import entry_order
 
 FIXED = settings(
@@ -61,11 +61,11 @@
 
 
 def merged(*parts):
-    roster = Roster()
+    view = MembershipView()
     for part in parts:
         for record in part:
-            roster.merge(record)
-    return {record.vm.id.name: record for record in roster}, roster.digest
+            view.merge(record)
+    return {record.vm.id.name: record for record in view}, view.digest
 
 
 @then("merging member records is commutative, associative and idempotent")
@@ -97,16 +97,16 @@
     def start(self):
         self.nodes = {name: self.make(name, 1) for name in self.NAMES}
 
-    def make(self, name, life):
-        vm = make_vm(name, f"{life:03d}", data_centre="dc-" + name[0])
-        return Exchange(vm, now_ms=self.now, wall_ms=self.now)
+    def make(self, name, incarnation):
+        vm = make_vm(name, f"{incarnation:03d}", data_centre="dc-" + name[0])
+        return GossipState(vm, now_ms=self.now, wall_ms=self.now)
 
     def send(self, source, to, *, lose_reply=False):
         sender, receiver = self.nodes[source], self.nodes[to]
-        request = sender.request(receiver.me)
-        reply, _ = receiver.on_request(sender.me.id, request, now_ms=self.now, wall_ms=self.now)
+        request = sender.next_heartbeat(receiver.own_vm)
+        reply, _ = receiver.on_request(sender.own_vm.id, request, now_ms=self.now, wall_ms=self.now)
         if not lose_reply:
-            sender.on_reply(receiver.me.id, request, reply, now_ms=self.now, wall_ms=self.now)
+            sender.on_reply(receiver.own_vm.id, request, reply, now_ms=self.now, wall_ms=self.now)
 
     @rule(source=st.sampled_from(NAMES), to=st.sampled_from(NAMES), lose=st.booleans())
     def beat(self, source, to, lose):
@@ -117,8 +117,8 @@
     @rule(source=st.sampled_from(NAMES), to=st.sampled_from(NAMES))
     def hold_back(self, source, to):
         if source != to:
-            request = self.nodes[source].request(self.nodes[to].me)
-            self.late.append((self.nodes[source].me.id, to, request))
+            request = self.nodes[source].next_heartbeat(self.nodes[to].own_vm)
+            self.late.append((self.nodes[source].own_vm.id, to, request))
 
     @rule(which=st.randoms())
     def deliver_late(self, which):
@@ -127,29 +127,29 @@
             self.nodes[to].on_request(sender, request, now_ms=self.now, wall_ms=self.now)
 
     @rule(by=st.sampled_from(NAMES), name=st.sampled_from(NAMES))
-    def accuse(self, by, name):
-        record = self.nodes[by].roster.get(name)
+    def mark_silent(self, by, name):
+        record = self.nodes[by].view.get(name)
         if record is not None and by != name:
-            self.nodes[by].accuse(record.vm.id, wall_ms=self.now)
+            self.nodes[by].mark_silent(record.vm.id, wall_ms=self.now)
 
     @rule(name=st.sampled_from(NAMES), says_so=st.booleans())
     def restart(self, name, says_so):
         node = self.nodes[name]
         if says_so:
-            node.announce(node.me, wall_ms=self.now, gone=True)
+            node.announce(node.own_vm, wall_ms=self.now, gone=True)
             self.send(name, self.NAMES[self.NAMES.index(name) - 1], lose_reply=True)
-        self.nodes[name] = self.make(name, int(node.me.id.incarnation) + 1)
+        self.nodes[name] = self.make(name, int(node.own_vm.id.incarnation) + 1)
 
     @rule(name=st.sampled_from(NAMES))
     def leave_later(self, name):
         node = self.nodes[name]
-        node.announce(replace(node.me, state=VmState.LEAVING), wall_ms=self.now)
+        node.announce(replace(node.own_vm, state=VmState.LEAVING), wall_ms=self.now)
 
     @invariant()
     def never_back(self):
         for holder, node in getattr(self, "nodes", {}).items():
-            for record in node.roster:
-                key = (holder, node.me.id.incarnation, record.vm.id.name)
+            for record in node.view:
+                key = (holder, node.own_vm.id.incarnation, record.vm.id.name)
                 rank = (record.vm.id.incarnation, record.gone, record.version, record.silent)
                 assert rank >= self.highest.get(key, rank), (key, rank)
                 self.highest[key] = rank
@@ -163,13 +163,13 @@
                 for to in self.NAMES:
                     if source != to:
                         self.send(source, to)
-        wanted = {node.me.id for node in self.nodes.values()}
+        wanted = {node.own_vm.id for node in self.nodes.values()}
         for node in self.nodes.values():
-            alive = {record.vm.id for record in node.roster if record.alive}
-            assert alive == wanted, (node.me.id, alive ^ wanted)
-            others = [other.me.id for other in self.nodes.values() if other is not node]
-            assert not any(map(node.owes, others)), node.me.id
-        assert len({node.roster.digest for node in self.nodes.values()}) == 1
+            live = {record.vm.id for record in node.view if record.live}
+            assert live == wanted, (node.own_vm.id, live ^ wanted)
+            others = [other.own_vm.id for other in self.nodes.values() if other is not node]
+            assert not any(map(node.has_urgent_updates, others)), node.own_vm.id
+        assert len({node.view.digest for node in self.nodes.values()}) == 1
 
 
 @then("views under lost, late and repeated heartbeats never go back and end up equal")
@@ -184,12 +184,12 @@
 
 @then("each VM of the ring has at most {most:d} partners")
 def step_partners(context, most):
-    assert all(len(ring.fingers(name, context.names)) <= most for name in context.names)
+    assert all(len(ring.heartbeat_partners(name, context.names)) <= most for name in context.names)
 
 
 @then("news crosses the ring in at most {hops:d} steps")
 def step_hops(context, hops):
-    partners = {name: ring.fingers(name, context.names) for name in context.names}
+    partners = {name: ring.heartbeat_partners(name, context.names) for name in context.names}
     for start in context.names[:20]:
         reached, steps = {start}, 0
         while len(reached) < len(context.names):
@@ -200,20 +200,23 @@
 
 @when("one VM of the ring is lost")
 def step_lost(context):
-    context.before = {name: ring.fingers(name, context.names)[:2] for name in context.names}
+    context.before = {
+        name: ring.heartbeat_partners(name, context.names)[:2] for name in context.names
+    }
     context.names = context.names[1:]
 
 
 @then("at most {most:d} of 43 VMs have a new successor or first finger")
 def step_moved(context, most):
     moved = sum(
-        ring.fingers(name, context.names)[:2] != context.before[name] for name in context.names
+        ring.heartbeat_partners(name, context.names)[:2] != context.before[name]
+        for name in context.names
     )
     assert 0 < moved <= most, moved
 
 
 def delegate_of(names, there):
-    return ring.delegates(names, of="here", towards=there)[0]
+    return ring.delegate_order(names, of="here", towards=there)[0]
 
 
 @then("delegates towards {count:d} data centres are at least {least:d} different VMs")
@@ -225,7 +228,7 @@
 @then("losing a delegate promotes its deputy and leaves the other delegates")
 def step_deputy(context):
     centres = [f"dc-{number}" for number in range(8)]
-    first, second = ring.delegates(context.names, of="here", towards=centres[0])[:2]
+    first, second = ring.delegate_order(context.names, of="here", towards=centres[0])[:2]
     before = {there: delegate_of(context.names, there) for there in centres}
     left = [name for name in context.names if name != first]
     after = {there: delegate_of(left, there) for there in centres}
@@ -239,18 +242,18 @@
 @then('a suspect reached as "{answers}" by those asked is judged "{verdict}"')
 def step_judge(context, answers, verdict):
     given_answers = [ANSWERS[answer] for answer in answers.split(",")]
-    assert judge(given_answers).value == verdict
+    assert verdict_from(given_answers).value == verdict
 
 
 @then('a suspect reached as "" by those asked is judged "{verdict}"')
 def step_judge_none(context, verdict):
-    assert judge([]).value == verdict
+    assert verdict_from([]).value == verdict
 
 
 @then("a peer last heard {age:d} ms ago and {how} has others asked {asked}")
 def step_asked(context, age, how, asked):
-    suspect = Suspect(heard_ms=1_000)
-    found = suspect.failed(1_000 + age, refused=how == "refusing", silent_after_ms=2_000)
+    contact = PeerContact(last_seen_ms=1_000)
+    found = contact.record_failure(1_000 + age, refused=how == "refusing", silent_after_ms=2_000)
     assert found == (asked == "yes")
 
 
@@ -332,7 +335,7 @@
 
 @given("a VM that reports its region's wait as {wait:d} ms")
 def step_reports(context, wait):
-    context.exchange = Exchange(make_vm("a"), now_ms=0, wall_ms=0)
+    context.gossip = GossipState(make_vm("a"), now_ms=0, wall_ms=0)
     context.far = make_vm("z", data_centre="thies-1")
     report(context, wait, 0)
     assert told_loads(context, 0)
@@ -340,15 +343,15 @@
 
 def report(context, wait, at_ms):
     load = RegionLoad(region="dakar", served="m", wait_ms=wait, free_tokens=9, at_ms=0)
-    context.exchange.report(load, wall_ms=at_ms)
+    context.gossip.set_own_load(load, wall_ms=at_ms)
 
 
 def told_loads(context, at_ms):
-    request = context.exchange.request(context.far)
-    far = getattr(context, "far_exchange", None) or Exchange(context.far, now_ms=0, wall_ms=0)
-    context.far_exchange = far
-    reply, _ = far.on_request(context.exchange.me.id, request, now_ms=at_ms, wall_ms=at_ms)
-    context.exchange.on_reply(context.far.id, request, reply, now_ms=at_ms, wall_ms=at_ms)
+    request = context.gossip.next_heartbeat(context.far)
+    far = getattr(context, "far_gossip", None) or GossipState(context.far, now_ms=0, wall_ms=0)
+    context.far_gossip = far
+    reply, _ = far.on_request(context.gossip.own_vm.id, request, now_ms=at_ms, wall_ms=at_ms)
+    context.gossip.on_reply(context.far.id, request, reply, now_ms=at_ms, wall_ms=at_ms)
     return request.loads
 
 
@@ -369,24 +372,24 @@
 
 @given("two VMs whose exchanges have met")
 def step_met(context):
-    context.one = Exchange(make_vm("a"), now_ms=0, wall_ms=0)
-    context.other = Exchange(make_vm("b"), now_ms=0, wall_ms=0)
+    context.one = GossipState(make_vm("a"), now_ms=0, wall_ms=0)
+    context.other = GossipState(make_vm("b"), now_ms=0, wall_ms=0)
     for _ in range(2):
         for source, to in ((context.one, context.other), (context.other, context.one)):
-            request = source.request(to.me)
-            reply, _ = to.on_request(source.me.id, request, now_ms=1, wall_ms=1)
-            source.on_reply(to.me.id, request, reply, now_ms=1, wall_ms=1)
+            request = source.next_heartbeat(to.own_vm)
+            reply, _ = to.on_request(source.own_vm.id, request, now_ms=1, wall_ms=1)
+            source.on_reply(to.own_vm.id, request, reply, now_ms=1, wall_ms=1)
 
 
 @when("one publishes a note, then a newer one, and the heartbeats arrive the other way round")
 def step_overtaken(context):
     context.one.publish("position", b"1", urgent=False)
-    older = context.one.request(context.other.me)
+    older = context.one.next_heartbeat(context.other.own_vm)
     context.one.publish("position", b"2", urgent=False)
-    newer = context.one.request(context.other.me)
+    newer = context.one.next_heartbeat(context.other.own_vm)
     context.notes = []
     for beat in (newer, older):
-        _, news = context.other.on_request(context.one.me.id, beat, now_ms=2, wall_ms=2)
+        _, news = context.other.on_request(context.one.own_vm.id, beat, now_ms=2, wall_ms=2)
         context.notes += [note.data for note in news.notes]
 
 
@@ -407,5 +410,7 @@
 
 @then('of the member records "{one}" and "{other}" the winner is "{winner}"')
 def step_winner(context, one, other, winner):
-    found = newer(read_record(one), read_record(other))
-    assert found == newer(read_record(other), read_record(one)) == read_record(winner), found
+    found = winning_record(read_record(one), read_record(other))
+    assert found == winning_record(read_record(other), read_record(one)) == read_record(winner), (
+        found
+    )
--- a/tests/steps/peers/membership_steps.py
+++ b/tests/steps/peers/membership_steps.py
@@ -118,7 +118,7 @@
     async def run():
         sender = context.fleet.members[name]
         receiver = context.fleet.members[other]
-        link = receiver.members._exchange._links[sender.id]
+        link = receiver.members._gossip._sync_states[sender.id]
         beat = Heartbeat(
             have=0,
             seq=link.have + 1,
--- a/tests/steps/peers/partition_steps.py
+++ b/tests/steps/peers/partition_steps.py
@@ -149,7 +149,7 @@
 @when('a VM that never hears "{name}" itself reaches no witness for a while')
 def step_no_witness(context, name):
     names = [found.id.name for found in of(context, "dakar-1")]
-    heard_by = ring.fingers(name, names)
+    heard_by = ring.heartbeat_partners(name, names)
     (deaf,) = (it for it in names if it != name and it not in heard_by)
     lost = member(context, name).id
     witnesses = [found for found in others(context, name) if found.id.name != deaf]
@@ -176,7 +176,7 @@
 def step_not_accused(context):
     for found in context.fleet.members.values():
         assert b'suspicions_total{verdict="silent"}' not in found.counters.text()
-        assert all(record.alive for record in found.members._exchange.roster)
+        assert all(record.live for record in found.members._gossip.view)
 
 
 @then("the other VMs of the fleet no longer see it")
@@ -217,7 +217,7 @@
 @when('the delegate of "{one}" towards "{other}" crashes')
 def step_delegate(context, one, other):
     names = [found.id.name for found in of(context, one)]
-    delegate = ring.delegates(names, of=one, towards=other)[0]
+    delegate = ring.delegate_order(names, of=one, towards=other)[0]
     context.call(context.fleet.kill, delegate)
 
 
@@ -254,7 +254,7 @@
             await found.members.drain()
         await anyio.sleep(count * HEARTBEAT_MS / 1000)
         for found in of(context, data_centre):
-            await found.members._look_around()
+            await found.members._discover_missing()
 
     context.call(run)
 
--- a/tests/steps/peers/silent_steps.py
+++ b/tests/steps/peers/silent_steps.py
@@ -12,10 +12,10 @@
 from hickorybeam.model import ResponseChunk, VmId
 from hickorybeam.peers.connections import AbortableProtocol
 from hickorybeam.peers.server import PeerServer
-from hickorybeam.peers.wire import Answered, Ask, NumberedAsk
+from hickorybeam.peers.wire import AskReply, AskRequest, NumberedRequest
 from hickorybeam.settings import PeerSettings
 from hickorybeam.standins import relay
-from support.peer_nodes import ECHO, PLAIN, Node, EchoMessage, collect, enter, make_call
+from support.peer_nodes import ECHO, PLAIN, EchoMessage, Node, collect, enter, make_call
 from support.stopwatch import Stopwatch
 
 SILENT_MS = 400
@@ -187,7 +187,9 @@
     context.answers = []
 
     async def ask(text):
-        reply = await context.a.peers.ask(context.target, STEADY, EchoMessage(text), timeout_ms=5_000)
+        reply = await context.a.peers.ask(
+            context.target, STEADY, EchoMessage(text), timeout_ms=5_000
+        )
         context.answers.append((text, reply.text))
         if len(context.answers) == count - 1:
             context.others_answered.set()
@@ -221,7 +223,7 @@
 
 class Answering:
     async def on_ask(self, ask, certificate):
-        return Answered(body=b"x")
+        return AskReply(body=b"x")
 
 
 @given("a peer server whose handlers answer at once")
@@ -232,7 +234,7 @@
 @when("a steady reply finds its stream closed")
 def step_closed_stream(context):
     vm = VmId("vm-a", "1")
-    numbered = NumberedAsk(number=1, ask=Ask(sender=vm, to=vm, topic="t", body=b""))
+    numbered = NumberedRequest(number=1, ask=AskRequest(sender=vm, to=vm, topic="t", body=b""))
 
     async def run():
         context.room = anyio.Semaphore(0, max_value=1)
--- a/tests/steps/peers/transport_steps.py
+++ b/tests/steps/peers/transport_steps.py
@@ -19,8 +19,17 @@
     VmId,
 )
 from hickorybeam.peers.connections import Address
-from hickorybeam.peers.wire import Forward
-from support.peer_nodes import ECHO, Node, EchoMessage, collect, enter, home_state, make_call, make_state
+from hickorybeam.peers.wire import ForwardRequest
+from support.peer_nodes import (
+    ECHO,
+    EchoMessage,
+    Node,
+    collect,
+    enter,
+    home_state,
+    make_call,
+    make_state,
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -160,7 +169,9 @@
 def step_forged(context, said):
     async def run():
         address = Address("127.0.0.1", context.b.peers.port)
-        message = Forward(sender=context.a.vm.id, to=context.b.vm.id, call=make_call(hops=said))
+        message = ForwardRequest(
+            sender=context.a.vm.id, to=context.b.vm.id, call=make_call(hops=said)
+        )
         return await collect(context.a.peers._client.forward(address, message))
 
     context.parts, context.error = context.call(run)
--- a/tests/support/peer_nodes.py
+++ b/tests/support/peer_nodes.py
@@ -161,7 +161,9 @@
 class Node:
     """One entry VM of a test: the kernel runs it until ``stop``."""
 
-    def __init__(self, name="vm-a", region="dakar", *, state=None, port=0, peers=None, incarnation="1"):
+    def __init__(
+        self, name="vm-a", region="dakar", *, state=None, port=0, peers=None, incarnation="1"
+    ):
         self.cfg = Settings(
             vm=VmSettings(name=name, region=region, data_centre=region + "-1", peer_port=port),
             platform=PlatformSettings(urls=()),
