--- a/src/hickorybeam/control/__init__.py
+++ b/src/hickorybeam/control/__init__.py
@@ -6,7 +6,7 @@
 from hickorybeam.control.plan import EngineState, Order, OrderKind, next_order
 from hickorybeam.control.sender import HttpOrders
 from hickorybeam.control.service import ControlService
-from hickorybeam.control.turn import Turn, WeightRate
+from hickorybeam.control.lease_term import LeaseTerm, WeightRate
 
 __all__ = (
     "ControlLease",
@@ -15,7 +15,7 @@
     "HttpOrders",
     "Order",
     "OrderKind",
-    "Turn",
+    "LeaseTerm",
     "WeightRate",
     "next_order",
 )
--- a/src/hickorybeam/control/lease.py
+++ b/src/hickorybeam/control/lease.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from hickorybeam.control.turn import Turn, deadline_of, quiet_until
+from hickorybeam.control.lease_term import LeaseTerm, send_from, send_until
 from hickorybeam.errors import ErrorKind, GatewayError
 from hickorybeam.store import Compare, Put
 
@@ -53,7 +53,7 @@
         self._lease_ms = lease_ms
         self._order_timeout_ms = order_timeout_ms
 
-    async def take(self, *, above: int = 0) -> Turn | None:
+    async def take(self, *, above: int = 0) -> LeaseTerm | None:
         """Take the lease if nobody holds it.
 
         :param above: the highest token that an engine has named. It is above the platform's
@@ -82,14 +82,14 @@
         if not taken:
             await self.give_up(lease)
             return None
-        return Turn(
+        return LeaseTerm(
             lease=lease,
             fencing=holder.fencing,
-            deadline=deadline_of(asked_at, self._lease_ms),
-            quiet_until=quiet_until(self._clock.now(), self._order_timeout_ms),
+            send_until_ms=send_until(asked_at, self._lease_ms),
+            send_from_ms=send_from(self._clock.now(), self._order_timeout_ms),
         )
 
-    async def renew(self, turn: Turn) -> Turn | None:
+    async def renew(self, turn: LeaseTerm) -> LeaseTerm | None:
         """Renew the lease; :return: ``None`` when it has lapsed."""
         asked_at = self._clock.now()
         try:
@@ -98,8 +98,8 @@
             if exc.kind is ErrorKind.LEASE_LOST:
                 return None
             # Without an answer the turn stays as long as its old deadline.
-            return turn if self._clock.now() < turn.deadline else None
-        return replace(turn, deadline=deadline_of(asked_at, min(ttl_ms, self._lease_ms)))
+            return turn if self._clock.now() < turn.send_until_ms else None
+        return replace(turn, send_until_ms=send_until(asked_at, min(ttl_ms, self._lease_ms)))
 
     async def give_up(self, lease: int) -> None:
         """End a lease; one that can't be ended lapses by itself."""
--- a/src/hickorybeam/control/turn.py
+++ b/src/hickorybeam/control/lease_term.py
@@ -12,7 +12,7 @@
 
 from dataclasses import dataclass
 
-__all__ = ("Turn", "WeightRate", "deadline_of")
+__all__ = ("LeaseTerm", "WeightRate", "send_until")
 
 # Clocks of two machines drift by far less; the rest covers rounding.
 DEADLINE_SHARE = 0.9
@@ -21,29 +21,29 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Turn:
+class LeaseTerm:
     """One holder's time in office.
 
-    ``deadline`` is by the holder's own clock, from before the call that granted or renewed
-    the lease. ``quiet_until`` ends the wait for the holder before.
+    ``send_until_ms`` is by the holder's own clock, from before the call that granted or renewed
+    the lease. ``send_from_ms`` ends the wait for the holder before.
     """
 
     lease: int
     fencing: int
-    deadline: int
-    quiet_until: int
+    send_until_ms: int
+    send_from_ms: int
 
     def may_send(self, now: int) -> bool:
         """Whether an order may start now."""
-        return self.quiet_until <= now < self.deadline
+        return self.send_from_ms <= now < self.send_until_ms
 
 
-def deadline_of(asked_at: int, ttl_ms: int) -> int:
+def send_until(asked_at: int, ttl_ms: int) -> int:
     """Return until when a lease surely holds that was granted or renewed after ``asked_at``."""
     return asked_at + int(ttl_ms * DEADLINE_SHARE)
 
 
-def quiet_until(now: int, order_timeout_ms: int) -> int:
+def send_from(now: int, order_timeout_ms: int) -> int:
     """Return when the last order of a holder before must have ended."""
     return now + order_timeout_ms + QUIET_MARGIN_MS
 
--- a/src/hickorybeam/control/service.py
+++ b/src/hickorybeam/control/service.py
@@ -12,7 +12,7 @@
 from hickorybeam.control.lease import ControlLease
 from hickorybeam.control.plan import engines_of, next_order
 from hickorybeam.control.sender import HttpOrders
-from hickorybeam.control.turn import WeightRate
+from hickorybeam.control.lease_term import WeightRate
 from hickorybeam.errors import ErrorKind, GatewayError
 from hickorybeam.kernel import Service, Started
 from hickorybeam.store import Platform
@@ -22,7 +22,7 @@
     from hickorybeam.clock import Clock
     from hickorybeam.control.plan import Order
     from hickorybeam.control.sender import OrderPort
-    from hickorybeam.control.turn import Turn
+    from hickorybeam.control.lease_term import LeaseTerm
     from hickorybeam.kernel import Kernel
     from hickorybeam.model import BackendServer
     from hickorybeam.settings import Settings
@@ -61,7 +61,7 @@
         self._orders = orders or HttpOrders(timeout_ms=cfg.control.order_timeout_ms)
         self._sent = counters.counter("orders", "Orders to engines", ("order", "outcome"))
         self._weights = WeightRate(cfg.control.weight_store_bytes_per_s)
-        self._turn: Turn | None = None
+        self._turn: LeaseTerm | None = None
         self._draining = False
         self._highest_fencing = 0
         self._members: ports.Members | None = None
@@ -86,7 +86,7 @@
         turn = self._turn
         if turn is None:
             return {"holder": False}
-        left_ms = turn.deadline - self._clock.now()
+        left_ms = turn.send_until_ms - self._clock.now()
         return {"holder": True, "fencing": turn.fencing, "lease_left_ms": left_ms}
 
     async def main(self, started: Started) -> None:
--- a/src/hickorybeam/daemon.py
+++ b/src/hickorybeam/daemon.py
@@ -16,7 +16,7 @@
 from hickorybeam.dispatch import DispatchService
 from hickorybeam.front import FrontService
 from hickorybeam.kernel import Kernel
-from hickorybeam.once import OnceService
+from hickorybeam.once import IdempotencyService
 from hickorybeam.peers import MembersService, PeersService
 from hickorybeam.shares import BudgetService
 from hickorybeam.store.etcd import EtcdPlatform
@@ -60,7 +60,7 @@
             BudgetService,
             BackendsService,
             DispatchService,
-            OnceService,
+            IdempotencyService,
             FrontService,
         ):
             kernel.add(service(cfg=cfg, clock=clock, counters=counters))
--- a/src/hickorybeam/once/__init__.py
+++ b/src/hickorybeam/once/__init__.py
@@ -2,6 +2,6 @@
 
 from __future__ import annotations
 
-from hickorybeam.once.service import OnceService
+from hickorybeam.once.service import IdempotencyService
 
-__all__ = ("OnceService",)
+__all__ = ("IdempotencyService",)
--- a/src/hickorybeam/once/service.py
+++ b/src/hickorybeam/once/service.py
@@ -36,7 +36,7 @@
     from hickorybeam.settings import Settings
     from hickorybeam.telemetry import Counters
 
-__all__ = ("OnceService",)
+__all__ = ("IdempotencyService",)
 
 # An issued key is good for ten minutes: a caller draws it right before it needs it, and every
 # used one is remembered for as long.
@@ -71,7 +71,7 @@
     revision: int = 0
 
 
-class OnceService(Service):
+class IdempotencyService(Service):
     """Runs calls with an idempotency key, each key at most once."""
 
     name: ClassVar[str] = ports.ONCE
--- a/tests/steps/once/fakes.py
+++ b/tests/steps/once/fakes.py
@@ -26,7 +26,7 @@
     VmId,
     ref_of,
 )
-from hickorybeam.once import OnceService
+from hickorybeam.once import IdempotencyService
 from hickorybeam.settings import PlatformSettings, Settings, VmSettings
 from hickorybeam.telemetry import Counters
 
@@ -120,7 +120,7 @@
             vm=VmSettings(name=name, region=region, data_centre=region),
             platform=PlatformSettings(urls=("http://127.0.0.1:1",)),
         )
-        self.once = OnceService(cfg=cfg, clock=fleet.clock, counters=Counters())
+        self.once = IdempotencyService(cfg=cfg, clock=fleet.clock, counters=Counters())
         self.scope = anyio.CancelScope()
 
     def find(self, name, kind):
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -528,16 +528,16 @@
     # orders
     Mutation(
         "no order past the holder's own deadline",
-        "control/turn.py",
-        "        return self.quiet_until <= now < self.deadline",
-        "        return self.quiet_until <= now",
+        "control/lease_term.py",
+        "        return self.send_from_ms <= now < self.send_until_ms",
+        "        return self.send_from_ms <= now",
         "control",
     ),
     Mutation(
         "a new holder waits for the old one's last order",
-        "control/turn.py",
-        "        return self.quiet_until <= now < self.deadline",
-        "        return now < self.deadline",
+        "control/lease_term.py",
+        "        return self.send_from_ms <= now < self.send_until_ms",
+        "        return now < self.send_until_ms",
         "control",
     ),
 )
