--- a/src/hickorybeam/shares/__init__.py
+++ b/src/hickorybeam/shares/__init__.py
@@ -1,4 +1,4 @@
-"""Shares of each account's rate and burst: what this VM may spend without asking anyone."""
+"""Shares of each account's rate and burst, which this VM spends without a remote call."""
 
 from __future__ import annotations
 
--- a/src/hickorybeam/shares/messages.py
+++ b/src/hickorybeam/shares/messages.py
@@ -1,4 +1,4 @@
-"""What VMs ask each other about shares."""
+"""Messages between VMs about shares and loans."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 
 __all__ = (
     "LOANS",
-    "MOVED",
-    "STANDING",
+    "SHARES_MOVED",
+    "TAKE_OVER_PROMISE",
+    "LoanDemand",
     "LoanReply",
     "LoanRequest",
-    "Moved",
-    "StandingReply",
-    "StandingRequest",
-    "Want",
+    "SharesMoved",
+    "TakeOverPromiseReply",
+    "TakeOverPromiseRequest",
 )
 
 
 @dataclass(frozen=True, slots=True)
-class Want:
-    """Tokens of one account: ``need`` for requests that wait, ``ahead`` for those to come."""
+class LoanDemand:
+    """Tokens wanted of one account: ``need`` for waiting requests, ``ahead`` for expected ones."""
 
     need: float
     ahead: float = 0.0
@@ -30,42 +30,42 @@
 
 @dataclass(frozen=True, slots=True)
 class LoanRequest:
-    """Tokens wanted of each account, and loans that the sender will spend no more of."""
+    """Tokens wanted by account, and the loans that the sender has closed."""
 
-    wants: dict[str, Want]
+    wants: dict[str, LoanDemand]
     closed: tuple[ClosedLoan, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class LoanReply:
-    """The loans granted; an account left out has nothing to lend here."""
+    """The loans granted; for an account that is missing, the lender has nothing to lend."""
 
     loans: tuple[Loan, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
-class StandingRequest:
-    """Asks a neighbour whether it took the sender's fractions over, and not to for a while."""
+class TakeOverPromiseRequest:
+    """Asks a neighbour to promise not to take over the sender's shares for ``promise_ms``."""
 
     promise_ms: int
 
 
 @dataclass(frozen=True, slots=True)
-class StandingReply:
-    """``taken``: the neighbour took over, or tried to and does not know the outcome."""
+class TakeOverPromiseReply:
+    """``taken``: no promise, as the neighbour took over, or tried and the outcome is unknown."""
 
     taken: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Moved:
-    """Tells a VM that the ledger has more for it, so that it reads now; also the reply."""
+class SharesMoved:
+    """Tells a VM that the ledger assigns it more parts, so that it reads now; also the reply."""
 
 
 LOANS: Topic[LoanRequest, LoanReply] = Topic(
     "share.loans", LoanRequest, LoanReply, shared_stream=True
 )
-STANDING: Topic[StandingRequest, StandingReply] = Topic(
-    "share.standing", StandingRequest, StandingReply
+TAKE_OVER_PROMISE: Topic[TakeOverPromiseRequest, TakeOverPromiseReply] = Topic(
+    "share.standing", TakeOverPromiseRequest, TakeOverPromiseReply
 )
-MOVED: Topic[Moved, Moved] = Topic("share.moved", Moved, Moved)
+SHARES_MOVED: Topic[SharesMoved, SharesMoved] = Topic("share.moved", SharesMoved, SharesMoved)
--- a/src/hickorybeam/shares/service.py
+++ b/src/hickorybeam/shares/service.py
@@ -16,15 +16,15 @@
 from hickorybeam.policy.rebalance import AccountDemand, plan_transfers
 from hickorybeam.policy.shares import PARTS_PER_ACCOUNT, GroupLedger, Holder
 from hickorybeam.shares.accounts import AccountBuckets
-from hickorybeam.shares.ledger import Fleet, LedgerKeeper
-from hickorybeam.shares.lending import Lending, Source
+from hickorybeam.shares.ledger import LiveHolders, ShareLedgerClient
+from hickorybeam.shares.lending import LoanExchange, LoanSource
 from hickorybeam.shares.messages import (
     LOANS,
-    MOVED,
-    STANDING,
-    Moved,
-    StandingReply,
-    StandingRequest,
+    SHARES_MOVED,
+    TAKE_OVER_PROMISE,
+    SharesMoved,
+    TakeOverPromiseReply,
+    TakeOverPromiseRequest,
 )
 from hickorybeam.store.port import Platform
 
@@ -40,41 +40,41 @@
 Q = TypeVar("Q")
 R = TypeVar("R")
 
-# Rounds of asking and looking again before a request is refused: the second catches tokens
-# that another request of this VM took between the answer and the look.
-BORROW_TRIES: Final = 2
+# Rounds of borrowing before a request is refused. The second replaces tokens that another request
+# of this VM spent between the replies of peers and this request's attempt to spend.
+MAX_BORROW_ROUNDS: Final = 2
 
-# A VM whose fractions are in doubt asks at most this often, however many requests wait.
-CONFIRM_EVERY_MS: Final = 250
+# A VM whose shares are not confirmed runs rounds for waiting requests at most this often.
+MIN_CONFIRM_INTERVAL_MS: Final = 250
 
-RETRY_UNCONFIRMED_MS: Final = 500
+UNCONFIRMED_RETRY_AFTER_MS: Final = 500
 
-# A VM that was told of fractions for it reads them within this time. It bounds the reads of a
-# VM to two a second, however many others give to it.
-READ_EVERY_MS: Final = 500
-MAX_MESSAGES: Final = 1_000
+# A VM that is notified of shares transferred to it reads them within this time. It limits a VM to
+# two reads a second, however many others transfer shares to it.
+EARLY_READ_INTERVAL_MS: Final = 500
+MAX_QUEUED_ROUNDS: Final = 1_000
 DRAIN_POLL_MS: Final = 50
-STATUS_ACCOUNTS: Final = 50
+MAX_STATUS_ACCOUNTS: Final = 50
 
 
 @dataclass(frozen=True, slots=True)
-class _Round:
-    """Asks the main task for a round; a request that waits for it brings a reply.
+class _RoundRequest:
+    """Asks the main task for a round; ``reply`` is set after it if a request waits for it.
 
-    ``gifts``: whether this VM may give fractions away in it. Only rounds of the timer do: a
-    receiver that gave on at once would have its own receivers read and give, and so on, at
-    the speed of the platform (seen: 274 calls a second of each VM with five accounts).
+    ``allow_transfers``: whether this VM may transfer shares away in it. Only rounds of the timer
+    do: if a receiver passed shares on at once, its own receivers would read and pass on, and so
+    on, as fast as the platform allows (274 calls a second by each VM with five accounts).
     """
 
     reply: Reply[None] | None = None
     account: str = ""
-    gifts: bool = False
+    allow_transfers: bool = False
 
 
 class BudgetService(Service):
-    """Spends tokens of accounts from the fractions that this VM holds, or from loans.
+    """Spends tokens of accounts from the shares that this VM holds, or from loans.
 
-    Neighbours ``members`` and ``peers`` are optional: a lone VM holds everything itself.
+    The services ``members`` and ``peers`` are optional: a single VM holds all shares itself.
     """
 
     name: ClassVar[str] = ports.BUDGET
@@ -84,86 +84,90 @@
         self._cfg = cfg
         self._clock = clock
         self._counters = counters
-        self._books = AccountBuckets(cfg.shares)
-        self._lending = Lending(
+        self._account_buckets = AccountBuckets(cfg.shares)
+        self._loan_exchange = LoanExchange(
             clock=clock,
             counters=counters,
-            books=self._books,
-            sources=self._sources,
+            account_buckets=self._account_buckets,
+            sources=self._loan_sources,
             may_spend=self._may_spend,
         )
-        self._messages: Mailbox[_Round] = Mailbox(size=MAX_MESSAGES)
+        self._round_requests: Mailbox[_RoundRequest] = Mailbox(size=MAX_QUEUED_ROUNDS)
         self._members: ports.Members | None = None
         self._peers: ports.Peers | None = None
-        self._applied: ConfigState | None = None
-        self._last_confirm = -CONFIRM_EVERY_MS
+        self._applied_config: ConfigState | None = None
+        self._last_round_ms = -MIN_CONFIRM_INTERVAL_MS
         self._draining = False
-        self._made: LedgerKeeper | None = None
-        self._read_early = False
+        self._created_ledger_client: ShareLedgerClient | None = None
+        self._early_read_requested = False
         self._platform_fault = ""
-        self._rounded: frozenset[str] = frozenset()
-        self._confirmed = counters.gauge("share_confirmed", "Whether own fractions may be spent")
-        self._open_loans = counters.gauge("share_loans_open", "Loans granted and not closed")
+        self._accounts_in_last_round: frozenset[str] = frozenset()
+        self._confirmed_gauge = counters.gauge(
+            "share_confirmed", "Whether own fractions may be spent"
+        )
+        self._open_loans_gauge = counters.gauge("share_loans_open", "Loans granted and not closed")
 
     def bind(self, kernel: Kernel) -> None:
-        """Look up neighbours."""
+        """Look up the services in use and register the handlers of peers' requests."""
         self._platform = kernel.find(ports.PLATFORM, Platform)  # type: ignore[type-abstract]
         self._config = kernel.find(ports.CONFIG, ports.ConfigView)  # type: ignore[type-abstract]
         if kernel.has(ports.MEMBERS):
             self._members = kernel.find(ports.MEMBERS, ports.Members)  # type: ignore[type-abstract]
         if kernel.has(ports.PEERS):
             self._peers = kernel.find(ports.PEERS, ports.Peers)  # type: ignore[type-abstract]
-            self._peers.serve(LOANS, self._lending.answer)
-            self._peers.serve(MOVED, self._answer_moved)
-            self._peers.serve(STANDING, self._answer_standing)
-        self._lending.connect(self._peers)
+            self._peers.serve(LOANS, self._loan_exchange.handle_loan_request)
+            self._peers.serve(SHARES_MOVED, self._handle_shares_moved)
+            self._peers.serve(TAKE_OVER_PROMISE, self._handle_promise_request)
+        self._loan_exchange.connect(self._peers)
 
     async def main(self, started: Started) -> None:
-        """Keep the ledger, lend and borrow until cancelled."""
-        if self._made is None:
-            self._made = self._new_keeper()
-        await self._round(gifts=False)
+        """Run rounds with the ledger, lend and borrow until cancelled."""
+        if self._created_ledger_client is None:
+            self._created_ledger_client = self._create_ledger_client()
+        await self._run_round(allow_transfers=False)
         started()
         async with anyio.create_task_group() as tg:
-            tg.start_soon(self._lending.serve_wants)
-            tg.start_soon(self._post_rounds)
-            tg.start_soon(self._post_on_ticket)
-            async for message in self._messages:
-                await self._handle(message)
+            tg.start_soon(self._loan_exchange.run_rounds)
+            tg.start_soon(self._schedule_rounds)
+            tg.start_soon(self._schedule_on_config_change)
+            async for request in self._round_requests:
+                await self._handle_round_request(request)
 
     async def drain(self) -> None:
-        """Repay loans, wait for those granted, hand the fractions on."""
+        """Return borrowed loans, wait for granted ones to close, then release all shares."""
         self._draining = True
-        self._lending.lending = False
-        for account in self._books.borrower.accounts():
-            self._books.borrower.return_loans(account)
-        await self._lending.report_closed()
-        # Fractions that carry open loans cannot be handed on: the loan's tokens would be
-        # spent by its borrower and once more by the new holder.
-        while self._books.lender.open_count():
+        self._loan_exchange.lending_enabled = False
+        for account in self._account_buckets.borrower.accounts():
+            self._account_buckets.borrower.return_loans(account)
+        await self._loan_exchange.report_closed_loans()
+        # Shares with open loans cannot be released: the lent tokens would be spent by the
+        # borrower and once more by the new holder.
+        while self._account_buckets.lender.open_count():
             await self._clock.sleep(DRAIN_POLL_MS)
-            self._books.lender.expire(self._books.buckets, self._clock.now())
+            self._account_buckets.lender.expire(self._account_buckets.buckets, self._clock.now())
         try:
-            await self._keeper.release_all(self._fleet())
+            await self._ledger_client.release_all(self._live_holders())
         except GatewayError as exc:
-            logging.warning("fractions were not released: %s", exc)
+            logging.warning("shares were not released on shutdown: %s", exc)
 
     async def take(self, account: str, tokens: int) -> int:
-        """Spend tokens, from the own share or a loan, or raise ``RATE_LIMITED``."""
-        self._follow_config()
-        terms = self._terms(account)
-        if tokens > terms.burst:
-            raise GatewayError(ErrorKind.COST_OVER_BURST, f"cost {tokens}, burst {terms.burst:.0f}")
+        """Spend tokens from this VM's share or a loan, or raise ``RATE_LIMITED``."""
+        self._apply_config()
+        limits = self._limits(account)
+        if tokens > limits.burst:
+            raise GatewayError(
+                ErrorKind.COST_OVER_BURST, f"cost {tokens}, burst {limits.burst:.0f}"
+            )
         admission = self._spend(account, tokens)
         if admission is not None:
             return admission
-        if not self._may_spend() or not self._keeper.knows(account):
-            await self._ask_for_round(account)
-        for _ in range(BORROW_TRIES):
+        if not self._may_spend() or not self._ledger_client.has_account(account):
+            await self._wait_for_round(account)
+        for _ in range(MAX_BORROW_ROUNDS):
             admission = self._spend(account, tokens)
             if admission is not None:
                 return admission
-            if not await self._lending.borrow(account, tokens):
+            if not await self._loan_exchange.borrow(account, tokens):
                 break
         admission = self._spend(account, tokens)
         if admission is not None:
@@ -171,160 +175,172 @@
         raise self._refusal(account, tokens)
 
     def settle(self, account: str, taken: int, used: int, *, admission: int = 0) -> None:
-        """Give back what a finished request did not use, or take what it used beyond."""
-        self._books.settle(account, taken, used, self._clock.now(), admission)
+        """Refund the tokens that a finished request did not use, or charge those in excess."""
+        self._account_buckets.settle(account, taken, used, self._clock.now(), admission)
 
     def status(self) -> dict[str, object]:
-        """Tell operators what this VM holds, of the accounts that it spent most of."""
+        """Return, for operators, this VM's share of the accounts that it spends fastest."""
         now = self._clock.now()
         names = sorted(
-            self._books.buckets, key=lambda name: self._books.spent.rate(name, now), reverse=True
+            self._account_buckets.buckets,
+            key=lambda name: self._account_buckets.spend_rates.rate(name, now),
+            reverse=True,
         )
         return {
             "confirmed": self._may_spend(),
-            "accounts": {name: self._account_status(name, now) for name in names[:STATUS_ACCOUNTS]},
+            "accounts": {
+                name: self._account_status(name, now) for name in names[:MAX_STATUS_ACCOUNTS]
+            },
         }
 
     def _account_status(self, account: str, now: int) -> dict[str, float]:
-        bucket = self._books.buckets[account]
+        bucket = self._account_buckets.buckets[account]
         return {
-            "fraction": self._keeper.usable_parts(account) / PARTS_PER_ACCOUNT,
+            "fraction": self._ledger_client.usable_parts(account) / PARTS_PER_ACCOUNT,
             "tokens": round(bucket.level(now)),
             "lent": round(bucket.lent_capacity),
-            "borrowed": round(self._books.borrower.available(account, now)),
-            "spent_per_s": round(self._books.spent.rate(account, now)),
+            "borrowed": round(self._account_buckets.borrower.available(account, now)),
+            "spent_per_s": round(self._account_buckets.spend_rates.rate(account, now)),
         }
 
     def _spend(self, account: str, tokens: int) -> int | None:
         now = self._clock.now()
-        return self._books.spend(account, tokens, now, own=self._may_spend())
+        return self._account_buckets.spend(account, tokens, now, use_own_share=self._may_spend())
 
     def _available(self, account: str) -> float:
-        return self._books.available(account, self._clock.now(), own=self._may_spend())
+        return self._account_buckets.available(
+            account, self._clock.now(), use_own_share=self._may_spend()
+        )
 
     def _may_spend(self) -> bool:
-        return self._keeper.lease_state.may_spend(self._clock.now())
+        return self._ledger_client.lease_state.may_spend(self._clock.now())
 
-    def _terms(self, account: str) -> ClientAccount:
-        terms = self._books.accounts.get(account)
-        if terms is None:
+    def _limits(self, account: str) -> ClientAccount:
+        limits = self._account_buckets.accounts.get(account)
+        if limits is None:
             raise GatewayError(ErrorKind.NOT_READY, f"account {account!r} is not configured")
-        return terms
+        return limits
 
     def _refusal(self, account: str, tokens: int) -> GatewayError:
-        if not self._may_spend() or not self._keeper.knows(account):
-            # Not the account's doing: its fraction here may have passed to another VM, or
-            # the account is so new that nobody has entered it in the ledger yet.
+        if not self._may_spend() or not self._ledger_client.has_account(account):
+            # Not the caller's fault: this VM's share may have been taken over, or the account
+            # is so new that no VM has created it in the ledger yet.
             return GatewayError(
                 ErrorKind.NOT_READY,
                 "this VM's share of the account is not confirmed",
-                retry_after_ms=RETRY_UNCONFIRMED_MS,
+                retry_after_ms=UNCONFIRMED_RETRY_AFTER_MS,
             )
         missing = tokens - self._available(account)
-        rate = max(self._terms(account).rate, 1e-9)
+        rate = max(self._limits(account).rate, 1e-9)
         wait = min(int(missing / rate * 1000) + 1, 3_600_000)
         return GatewayError(ErrorKind.RATE_LIMITED, retry_after_ms=max(1, wait))
 
-    async def _ask_for_round(self, account: str) -> None:
+    async def _wait_for_round(self, account: str) -> None:
         reply: Reply[None] = Reply()
-        if self._messages.post(_Round(reply, account)):
+        if self._round_requests.post(_RoundRequest(reply, account)):
             await reply.wait()
 
-    async def _post_rounds(self) -> None:
-        """Post a round with gifts at each rebalance, and early reads in between."""
-        since = 0
+    async def _schedule_rounds(self) -> None:
+        """Request a round with transfers every ``rebalance_ms``, and early reads in between."""
+        elapsed_ms = 0
         while True:
-            await self._clock.sleep(READ_EVERY_MS)
-            since += READ_EVERY_MS
-            if since >= self._cfg.shares.rebalance_ms:
-                since = 0
-                self._messages.post(_Round(gifts=True))
-            elif self._read_early:
-                self._messages.post(_Round())
-
-    async def _post_on_ticket(self) -> None:
-        """Make a round as soon as a change ticket is in force: it may set a new account."""
+            await self._clock.sleep(EARLY_READ_INTERVAL_MS)
+            elapsed_ms += EARLY_READ_INTERVAL_MS
+            if elapsed_ms >= self._cfg.shares.rebalance_ms:
+                elapsed_ms = 0
+                self._round_requests.post(_RoundRequest(allow_transfers=True))
+            elif self._early_read_requested:
+                self._round_requests.post(_RoundRequest())
+
+    async def _schedule_on_config_change(self) -> None:
+        """Request a round when a change ticket has added an account missing in the ledger."""
         while True:
             state = await self._config.wait_past(self._config.current().position)
-            if any(not self._keeper.knows(name) for name in state.accounts):
-                self._messages.post(_Round())
-
-    async def _handle(self, message: _Round) -> None:
-        recently = self._clock.now() - self._last_confirm < CONFIRM_EVERY_MS
-        settled = self._may_spend() and self._keeper.knows(message.account)
-        needless = message.reply is not None and (settled or (recently and self._tried(message)))
+            if any(not self._ledger_client.has_account(name) for name in state.accounts):
+                self._round_requests.post(_RoundRequest())
+
+    async def _handle_round_request(self, request: _RoundRequest) -> None:
+        recent = self._clock.now() - self._last_round_ms < MIN_CONFIRM_INTERVAL_MS
+        confirmed = self._may_spend() and self._ledger_client.has_account(request.account)
+        skip = request.reply is not None and (
+            confirmed or (recent and self._was_in_last_round(request))
+        )
         try:
-            if not needless:
-                await self._round(gifts=message.gifts)
+            if not skip:
+                await self._run_round(allow_transfers=request.allow_transfers)
         finally:
-            if message.reply is not None:
-                message.reply.set(None)
-
-    def _tried(self, message: _Round) -> bool:
-        """Whether the last round knew of the account already; a newer one gets its own."""
-        return message.account in self._rounded
-
-    async def _round(self, *, gifts: bool) -> None:
-        """Renew the lease, read the ledger, write what is due; else ask the neighbours."""
-        self._read_early = False
-        self._follow_config()
-        self._rounded = frozenset(self._books.accounts)
-        if self._lending.borrowed_lately():
-            self._keeper.hurry()
+            if request.reply is not None:
+                request.reply.set(None)
+
+    def _was_in_last_round(self, request: _RoundRequest) -> bool:
+        """Whether the last round included the account; a newer account gets its own round."""
+        return request.account in self._accounts_in_last_round
+
+    async def _run_round(self, *, allow_transfers: bool) -> None:
+        """Renew the lease, read and write the ledger; if the lease runs out, ask neighbours."""
+        self._early_read_requested = False
+        self._apply_config()
+        self._accounts_in_last_round = frozenset(self._account_buckets.accounts)
+        if self._loan_exchange.borrowed_since_last_call():
+            self._ledger_client.read_next_round()
         try:
-            await self._keeper.renew()
-            await self._keeper.read()
+            await self._ledger_client.renew()
+            await self._ledger_client.read()
             if not self._draining:
-                plan = self._gifts if gifts else _no_gifts
-                await self._keeper.write(self._books.accounts, self._fleet(), plan)
+                plan = self._add_transfers if allow_transfers else _no_transfers
+                await self._ledger_client.write(
+                    self._account_buckets.accounts, self._live_holders(), plan
+                )
         except GatewayError as exc:
-            self._note_platform(exc.kind.value)
+            self._log_platform_state(exc.kind.value)
         else:
-            self._note_platform("")
-        # A lease that ends before the round after next is as good as gone: asked only then,
-        # the neighbours' promise would come after a gap in which requests are refused.
-        soon = self._clock.now() + 2 * self._cfg.shares.rebalance_ms
-        if not self._keeper.lease_state.lease_valid(soon):
-            await self._ask_neighbours()
-        await self._tell_moved(self._keeper.receivers())
-        await self._lending.report_closed()
-        self._last_confirm = self._clock.now()
-        self._confirmed.set(self._may_spend())
-        self._open_loans.set(self._books.lender.open_count())
-
-    def _note_platform(self, fault: str) -> None:
-        """Log when the platform's state changes, not at every round of an outage."""
+            self._log_platform_state("")
+        # Ask for promises if the lease ends before the round after next. Asked later, neighbours
+        # would promise only after a gap in which this VM refuses requests.
+        next_rounds_end_ms = self._clock.now() + 2 * self._cfg.shares.rebalance_ms
+        if not self._ledger_client.lease_state.lease_valid(next_rounds_end_ms):
+            await self._request_promises()
+        await self._notify_receivers(self._ledger_client.pop_receivers())
+        await self._loan_exchange.report_closed_loans()
+        self._last_round_ms = self._clock.now()
+        self._confirmed_gauge.set(self._may_spend())
+        self._open_loans_gauge.set(self._account_buckets.lender.open_count())
+
+    def _log_platform_state(self, fault: str) -> None:
+        """Log when the platform fails or recovers, not in every round of an outage."""
         if fault == self._platform_fault:
             return
         self._platform_fault = fault
         if fault:
-            logging.warning("no round of shares with the platform: %s", fault)
+            logging.warning("cannot update shares at the platform: %s", fault)
         else:
-            logging.info("shares reach the platform")
+            logging.info("shares are updated at the platform")
 
-    async def _ask_neighbours(self) -> None:
-        """With the platform out of reach, ask this data centre's VMs to take nothing over.
+    async def _request_promises(self) -> None:
+        """Ask the VMs of this data centre not to take over, while the platform is unavailable.
 
-        One that took over stops this VM at once. One answer of the others is enough: they
-        hear each other, and none takes over from a VM that it hears. With no answer at all
-        this VM may be the one that is cut off, and stops.
+        If one has taken over, this VM stops at once. Otherwise one promise is enough: the others
+        receive each other's reports, and none takes over from a VM that is live to it. Without
+        any reply this VM may be the isolated one, and stops when its deadlines pass.
         """
-        if not self._keeper.has_read:
+        if not self._ledger_client.has_read:
             return
-        sent = self._clock.now()
+        asked_at_ms = self._clock.now()
         promise_ms = 3 * self._cfg.shares.rebalance_ms
-        neighbours = self._keeper.neighbours()
+        neighbours = self._ledger_client.neighbours()
         if not neighbours:
-            self._keeper.lease_state.neighbours_promised(sent, promise_ms)
+            self._ledger_client.lease_state.neighbours_promised(asked_at_ms, promise_ms)
             return
-        replies = await self._ask_each(neighbours, STANDING, StandingRequest(promise_ms))
+        replies = await self._ask_each(
+            neighbours, TAKE_OVER_PROMISE, TakeOverPromiseRequest(promise_ms)
+        )
         if any(reply.taken for reply in replies):
-            self._keeper.taken()
+            self._ledger_client.stop_using_shares()
         elif replies:
-            self._keeper.lease_state.neighbours_promised(sent, promise_ms)
+            self._ledger_client.lease_state.neighbours_promised(asked_at_ms, promise_ms)
 
     async def _ask_each(self, vms: set[VmId], topic: ports.Topic[Q, R], request: Q) -> list[R]:
-        """Ask several VMs at once and return the replies of those that answer."""
+        """Send a request to several VMs at once and return the replies received."""
         replies: list[R] = []
         if self._peers is None or self._members is None:
             return replies
@@ -334,7 +350,7 @@
             try:
                 replies.append(await peers.ask(vm, topic, request))
             except GatewayError as exc:
-                logging.debug("no answer on %s from %s: %s", topic.name, vm.id.name, exc)
+                logging.debug("request %s to VM %s failed: %s", topic.name, vm.id.name, exc)
 
         async with anyio.create_task_group() as tg:
             for vm_id in vms:
@@ -343,75 +359,83 @@
                     tg.start_soon(ask, vm)
         return replies
 
-    async def _answer_standing(self, sender: VmId, request: StandingRequest) -> StandingReply:
-        return StandingReply(taken=not self._keeper.promise(sender, request.promise_ms))
+    async def _handle_promise_request(
+        self, sender: VmId, request: TakeOverPromiseRequest
+    ) -> TakeOverPromiseReply:
+        return TakeOverPromiseReply(
+            taken=not self._ledger_client.promise_no_take_over(sender, request.promise_ms)
+        )
 
-    async def _tell_moved(self, vms: set[VmId]) -> None:
-        """Have the receivers of fractions read at once.
+    async def _notify_receivers(self, vms: set[VmId]) -> None:
+        """Tell the receivers of shares to read the ledger early.
 
-        Until they read, neither side acts on what was moved, and the account's rate falls
-        short by that much; unheard, they read it within a few rounds all the same.
+        Until they read, neither side uses the transferred parts, and the account's total rate is
+        lower by that much. If the message is lost, they read within a few rounds anyway.
         """
-        await self._ask_each(vms, MOVED, Moved())
+        await self._ask_each(vms, SHARES_MOVED, SharesMoved())
 
-    async def _answer_moved(self, sender: VmId, request: Moved) -> Moved:
-        self._keeper.hurry()
-        self._read_early = True
+    async def _handle_shares_moved(self, sender: VmId, request: SharesMoved) -> SharesMoved:
+        self._ledger_client.read_next_round()
+        self._early_read_requested = True
         return request
 
-    def _follow_config(self) -> None:
+    def _apply_config(self) -> None:
         state = self._config.current()
-        if state is not self._applied:
-            self._applied = state
-            self._books.apply_accounts(state.accounts)
+        if state is not self._applied_config:
+            self._applied_config = state
+            self._account_buckets.apply_accounts(state.accounts)
             self._resize()
 
     def _resize(self) -> None:
-        self._books.apply_parts(
-            self._keeper.usable_parts, self._keeper.initial_parts, self._clock.now()
+        self._account_buckets.apply_parts(
+            self._ledger_client.usable_parts, self._ledger_client.initial_parts, self._clock.now()
         )
 
     @property
-    def _keeper(self) -> LedgerKeeper:
-        if self._made is None:
+    def _ledger_client(self) -> ShareLedgerClient:
+        if self._created_ledger_client is None:
             raise GatewayError(ErrorKind.NOT_READY, "shares are not started")
-        return self._made
+        return self._created_ledger_client
 
-    def _new_keeper(self) -> LedgerKeeper:
-        """Return the keeper, made once: it outlives a crash of this service's task.
+    def _create_ledger_client(self) -> ShareLedgerClient:
+        """Return a new ledger client; called once, as it must survive a crash of the main task.
 
-        A new one would not know of its writes that may still land, and would credit the
-        tokens that came with fractions a second time.
+        A second one would not know of earlier writes that may still take effect, and would
+        credit the tokens transferred with shares a second time.
         """
-        keeper = LedgerKeeper(
+        ledger_client = ShareLedgerClient(
             cfg=self._cfg,
             clock=self._clock,
             counters=self._counters,
-            me=self._me(),
-            book=self._book,
-            levels=lambda: self._books.levels(self._clock.now()),
+            own_holder=self._own_holder(),
+            update_buckets=self._update_buckets,
+            levels=lambda: self._account_buckets.levels(self._clock.now()),
         )
-        keeper.connect(self._platform)
-        return keeper
+        ledger_client.connect(self._platform)
+        return ledger_client
 
-    def _book(self, moved: dict[str, float]) -> None:
-        """Follow the ledger: tokens go before the bucket shrinks, and come after it grew."""
+    def _update_buckets(self, moved_tokens: dict[str, float]) -> None:
+        """Match buckets to the shares: charge before a bucket shrinks, credit after it grows."""
         now = self._clock.now()
-        self._books.move({name: one for name, one in moved.items() if one < 0}, now)
+        self._account_buckets.apply_token_transfers(
+            {name: tokens for name, tokens in moved_tokens.items() if tokens < 0}, now
+        )
         self._resize()
-        self._books.move({name: one for name, one in moved.items() if one > 0}, now)
+        self._account_buckets.apply_token_transfers(
+            {name: tokens for name, tokens in moved_tokens.items() if tokens > 0}, now
+        )
 
-    def _gifts(self, ledger: GroupLedger, planned: tuple[Holder, ...]) -> GroupLedger:
+    def _add_transfers(self, ledger: GroupLedger, planned: tuple[Holder, ...]) -> GroupLedger:
         now = self._clock.now()
-        accounts = self._books.accounts
-        # Only what this VM holds can it give: at the target's size that is one group of 16.
+        accounts = self._account_buckets.accounts
+        # Only accounts of which this VM holds parts: at the target's size, one group of 16.
         demands = {
             name: self._demand(accounts[name], planned, now)
-            for name, parts in ledger.parts_of(self._keeper.me.vm).items()
+            for name, parts in ledger.parts_of(self._ledger_client.own_holder.vm).items()
             if parts and name in accounts
         }
         return plan_transfers(
-            ledger, self._keeper.me, planned, demands, floor=self._cfg.shares.floor
+            ledger, self._ledger_client.own_holder, planned, demands, floor=self._cfg.shares.floor
         )
 
     def _demand(
@@ -420,39 +444,41 @@
         lent = {
             holder: rate
             for holder in planned
-            if (rate := self._lending.lent.rate((account.name, holder.vm), now)) > 0
+            if (rate := self._loan_exchange.lent_rates.rate((account.name, holder.vm), now)) > 0
         }
-        bucket = self._books.buckets.get(account.name)
+        bucket = self._account_buckets.buckets.get(account.name)
         return AccountDemand(
             account_rate=account.rate,
-            local_rate=self._books.spent.rate(account.name, now),
+            local_rate=self._account_buckets.spend_rates.rate(account.name, now),
             level=bucket.level(now) if bucket else 0.0,
             lent_rates=lent,
-            reserved_parts=self._books.lent_parts(account.name),
+            reserved_parts=self._account_buckets.lent_parts(account.name),
         )
 
-    def _sources(self, account: str) -> list[Source]:
-        """Return who may lend of an account; every known VM while the ledger is unread."""
+    def _loan_sources(self, account: str) -> list[LoanSource]:
+        """Return the peers that may lend of an account; all of them before the first read."""
         if self._members is None:
             return []
-        if not self._keeper.has_read:
+        if not self._ledger_client.has_read:
             return [
-                self._source(vm, 1) for vm in self._members.vms() if vm.id != self._keeper.me.vm
+                self._loan_source(vm, 1)
+                for vm in self._members.vms()
+                if vm.id != self._ledger_client.own_holder.vm
             ]
-        found: list[Source] = []
-        for holder, parts in self._keeper.holders_of(account).items():
+        found: list[LoanSource] = []
+        for holder, parts in self._ledger_client.parts_by_holder(account).items():
             vm = self._members.find(holder.vm)
-            if vm is not None and parts and holder.vm != self._keeper.me.vm:
-                found.append(self._source(vm, parts))
+            if vm is not None and parts and holder.vm != self._ledger_client.own_holder.vm:
+                found.append(self._loan_source(vm, parts))
         return found
 
-    def _source(self, vm: EntryVm, parts: int) -> Source:
-        return Source(vm, parts, near=vm.data_centre == self._cfg.vm.data_centre)
+    def _loan_source(self, vm: EntryVm, parts: int) -> LoanSource:
+        return LoanSource(vm, parts, local=vm.data_centre == self._cfg.vm.data_centre)
 
-    def _fleet(self) -> Fleet:
+    def _live_holders(self) -> LiveHolders:
         if self._members is None:
-            return Fleet(())
-        return Fleet(
+            return LiveHolders(())
+        return LiveHolders(
             tuple(
                 Holder(vm.id, vm.data_centre)
                 for vm in self._members.vms()
@@ -460,12 +486,12 @@
             )
         )
 
-    def _me(self) -> Holder:
+    def _own_holder(self) -> Holder:
         if self._members is not None:
             return Holder(self._members.me.id, self._members.me.data_centre)
         vm = VmId(self._cfg.vm.name, secrets.token_hex(8))
         return Holder(vm, self._cfg.vm.data_centre)
 
 
-def _no_gifts(ledger: GroupLedger, planned: tuple[Holder, ...]) -> GroupLedger:
+def _no_transfers(ledger: GroupLedger, planned: tuple[Holder, ...]) -> GroupLedger:
     return ledger
--- a/tests/steps/once/fakes.py
+++ b/tests/steps/once/fakes.py
@@ -70,7 +70,7 @@
     def __init__(self, fleet, node):
         self.fleet = fleet
         self.node = node
-        self.lose_answer = False
+        self.lose_response = False
 
     def serve(self, topic, handler):
         pass
@@ -83,7 +83,7 @@
         if other is None or other.cut:
             raise GatewayError(ErrorKind.PEER_UNREACHABLE, ran=Ran.NO)
         async for part in other.once.run(replace(call, hops=1)):
-            if self.lose_answer:
+            if self.lose_response:
                 raise GatewayError(ErrorKind.PEER_UNREACHABLE, ran=Ran.UNKNOWN)
             yield part
 
--- a/tests/steps/once/once_steps.py
+++ b/tests/steps/once/once_steps.py
@@ -159,19 +159,19 @@
 
 @given('answers to once VM "{name}" from other VMs are lost')
 def step_lost(context, name):
-    context.once.nodes[name].peers.lose_answer = True
+    context.once.nodes[name].peers.lose_response = True
 
 
 @when('answers to once VM "{name}" from other VMs arrive')
 def step_arrive(context, name):
-    context.once.nodes[name].peers.lose_answer = False
+    context.once.nodes[name].peers.lose_response = False
 
 
 @given('the platform "{fault}" for once VM "{name}"')
 def step_platform(context, fault, name):
     platform = context.once.nodes[name].platform
     platform.out = fault == "is out"
-    platform.lose_answer = fault == "loses the answer"
+    platform.lose_response = fault == "loses the answer"
     platform.delay_write = fault == "delays the write"
 
 
@@ -179,7 +179,7 @@
 def step_platform_back(context, name):
     platform = context.once.nodes[name].platform
     platform.out = False
-    context.call(platform.land_late)
+    context.call(platform.apply_delayed_writes)
 
 
 @when("{ms:d} ms pass for the once VMs")
--- a/tests/steps/shares/budget_steps.py
+++ b/tests/steps/shares/budget_steps.py
@@ -6,29 +6,29 @@
 
 from hickorybeam.errors import GatewayError
 from hickorybeam.policy.shares import PARTS_PER_ACCOUNT, GroupLedger
-from hickorybeam.shares.messages import LOANS, LoanRequest, Want
+from hickorybeam.shares.messages import LOANS, LoanDemand, LoanRequest
 from hickorybeam.store.port import Put
 
 NAME = "acme"
 SETTLE_MS = 30_000
 
 
-@given("a lone budget VM and an account of rate {rate:d} and burst {burst:d}")
-def step_lone(context, rate, burst):
-    begin(context, ["a0"], rate, burst, lone=True)
+@given("a single budget VM and an account of rate {rate:d} and burst {burst:d}")
+def step_single(context, rate, burst):
+    begin(context, ["a0"], rate, burst, single=True)
 
 
 @given("a budget fleet of {names} and an account of rate {rate:d} and burst {burst:d}")
 def step_fleet(context, names, rate, burst):
-    begin(context, names.split(), rate, burst, lone=False)
+    begin(context, names.split(), rate, burst, single=False)
 
 
-def begin(context, names, rate, burst, *, lone):
+def begin(context, names, rate, burst, *, single):
     context.rate, context.burst = rate, burst
     context.refused = 0
 
     async def build():
-        return fakes.Fleet([fakes.account(NAME, rate, burst)], lone=lone)
+        return fakes.Fleet([fakes.account(NAME, rate, burst)], single=single)
 
     context.fleet = context.call(build)
     context.stack.enter_context(context.portal.wrap_async_context_manager(context.fleet))
@@ -68,13 +68,13 @@
     assert context.outcome.kind.value == kind, context.outcome
 
 
-@then('the budget refuses it as "{kind}", to be tried again after {wait:d} ms')
+@then('the budget refuses it as "{kind}", with retry-after {wait:d} ms')
 def step_refuses_for(context, kind, wait):
     step_refuses(context, kind)
     assert context.outcome.retry_after_ms == wait, context.outcome.retry_after_ms
 
 
-@when("{ms:d} ms pass in the budget fleet")
+@when("{ms:d} ms pass for the budget fleet")
 def step_pass(context, ms):
     context.call(context.fleet.run, ms)
 
@@ -112,13 +112,13 @@
 
 
 @then("the budget fleet kept within rate and burst")
-def step_kept(context):
+def step_within_limits(context):
     assert not context.fleet.faults, context.fleet.faults[:3]
-    kept(context.fleet.spent, context.rate, context.burst)
+    assert_within_limits(context.fleet.spent, context.rate, context.burst)
 
 
-def kept(spent, rate, burst):
-    assert spent, "nothing was spent, so nothing was shown"
+def assert_within_limits(spent, rate, burst):
+    assert spent, "nothing was spent, so the check would be empty"
     excess = fakes.overspent([(at, tokens) for at, _, _, tokens in spent], rate, burst)
     assert excess <= 1e-6, excess
 
@@ -128,8 +128,8 @@
     context.fleet.cut_off(name)
 
 
-@when("the platform is out for the budget fleet")
-def step_out(context):
+@when("the platform is unavailable for the budget fleet")
+def step_unavailable(context):
     for node in context.fleet.nodes.values():
         node.platform.out = True
 
@@ -181,24 +181,24 @@
 
 @when('the next ledger write of budget VM "{name}" {fate}')
 def step_write_fate(context, name, fate):
-    """Make the VM borrow and lend first, so that it has something to write."""
+    """Set the fault of the VM's next ledger write; the traffic that follows causes the write."""
     platform = context.fleet.nodes[name].platform
     match fate:
-        case "loses its answer":
-            platform.lose_answer = True
-        case "lands late":
+        case "loses its response":
+            platform.lose_response = True
+        case "takes effect late":
             platform.delay_write = True
-        case "lands after it is cut off":
+        case "takes effect after it is cut off":
             platform.delay_write = True
-            platform.land_after_ms = 500
+            platform.apply_after_ms = 500
             platform.out_after_delay = True
 
 
-@when('writes of budget VM "{name}" that were under way land')
-def step_land(context, name):
+@when('delayed writes of budget VM "{name}" take effect')
+def step_delayed_writes(context, name):
     platform = context.fleet.nodes[name].platform
-    assert not platform.lose_answer and not platform.delay_write, "no ledger write was made"
-    context.call(platform.land_late)
+    assert not platform.lose_response and not platform.delay_write, "no ledger write was made"
+    context.call(platform.apply_delayed_writes)
 
 
 @when('peers of budget VM "{name}" {fault}')
@@ -207,10 +207,10 @@
     match fault:
         case "lose their replies":
             peers.lose_reply = True
-        case "get its requests twice":
+        case "receive its requests twice":
             peers.duplicate = True
-        case "are never reached":
-            peers.dumb = True
+        case "are unreachable":
+            peers.cannot_send = True
 
 
 @when("a change ticket sets the account to rate {rate:d} and burst {burst:d}")
@@ -225,11 +225,13 @@
 
 
 @then("since the change ticket the budget fleet kept within rate {rate:d} and burst {burst:d}")
-def step_kept_since(context, rate, burst):
-    kept([one for one in context.fleet.spent if one[0] >= context.changed_ms], rate, burst)
+def step_within_limits_since(context, rate, burst):
+    assert_within_limits(
+        [one for one in context.fleet.spent if one[0] >= context.changed_ms], rate, burst
+    )
 
 
-def in_ledger(context, name):
+def parts_in_ledger(context, name):
     return sum(
         entry.parts.get(NAME, 0)
         for key, item in context.fleet.store.items.items()
@@ -239,17 +241,17 @@
     )
 
 
-@then('budget VM "{name}" holds nothing in the ledger')
+@then('budget VM "{name}" holds no share in the ledger')
 def step_holds_nothing(context, name):
-    assert in_ledger(context, name) == 0
+    assert parts_in_ledger(context, name) == 0
 
 
-@then('budget VM "{name}" still holds its part in the ledger')
+@then('budget VM "{name}" still holds a share in the ledger')
 def step_holds_part(context, name):
-    assert in_ledger(context, name) > 0
+    assert parts_in_ledger(context, name) > 0
 
 
-def acting(context, data_centre):
+def parts_in_use(context, data_centre):
     return sum(
         node.budget.status()["accounts"][NAME]["fraction"] * PARTS_PER_ACCOUNT
         for name, node in context.fleet.nodes.items()
@@ -257,21 +259,21 @@
     )
 
 
-@then('data centre "{name}" acts on less than the fractions that its ledger names')
-def step_acts_on_less(context, name):
-    assert acting(context, name) < in_ledger(context, name) - 1
+@then('data centre "{name}" uses less than its share in the ledger')
+def step_uses_less(context, name):
+    assert parts_in_use(context, name) < parts_in_ledger(context, name) - 1
 
 
-@then('data centre "{name}" acts on all the fractions that its ledger names')
-def step_acts_on_all(context, name):
-    assert abs(acting(context, name) - in_ledger(context, name)) <= 1
+@then('data centre "{name}" uses all of its share in the ledger')
+def step_uses_all(context, name):
+    assert abs(parts_in_use(context, name) - parts_in_ledger(context, name)) <= 1
 
 
 @when('a change ticket adds budget account "{name}" and {platform}')
-def step_fresh(context, name, platform):
+def step_new_account(context, name, platform):
     async def add():
         for node in context.fleet.nodes.values():
-            node.platform.out = platform.endswith("out")
+            node.platform.out = platform.endswith("unavailable")
             accounts = [fakes.account(NAME, context.rate, context.burst), fakes.account(name)]
             node.config.set(accounts)
 
@@ -283,14 +285,14 @@
     context.outcome = context.call(context.fleet.take, name, account, tokens)
 
 
-@then("each budget VM asked the platform at most {most:f} times a second in the last {ms:d} ms")
-def step_calls(context, most, ms):
+@then("each budget VM calls the platform at most {limit:f} times a second in the last {ms:d} ms")
+def step_calls(context, limit, ms):
     calls = context.fleet.store.calls - context.calls_before
     each = calls / len(context.fleet.nodes) / (ms / 1000)
-    assert 0 < each <= most, each
+    assert 0 < each <= limit, each
 
 
-@when('budget VM "{name}" is paused for {ms:d} ms and wakes with the platform out')
+@when('budget VM "{name}" is paused for {ms:d} ms and resumes with the platform unavailable')
 def step_pause_out(context, name, ms):
     async def pause():
         fleet = context.fleet
@@ -303,18 +305,18 @@
     context.call(pause)
 
 
-@when('the platform is out for budget VM "{name}" alone')
-def step_out_alone(context, name):
+@when('the platform is unavailable for budget VM "{name}" alone')
+def step_unavailable_for_one(context, name):
     context.fleet.nodes[name].platform.out = True
 
 
-@when('budget VM "{name}" does not hear "{other}"')
-def step_deaf(context, name, other):
-    context.fleet.deaf.add((name, other))
+@when('budget VM "{name}" does not consider "{other}" live')
+def step_not_live(context, name, other):
+    context.fleet.not_live.add((name, other))
 
 
-@when('{ms:d} ms pass after the lease of budget VM "{name}" lapsed')
-def step_lapsed(context, ms, name):
+@when('{ms:d} ms pass after the lease of budget VM "{name}" expired')
+def step_after_lease(context, ms, name):
     async def wait():
         fleet = context.fleet
         while any(f"holder/{name}@" in key for key in fleet.store.items):
@@ -326,8 +328,8 @@
 
 
 @when('budget VM "{name}" renews its lease right before "{taker}" takes over')
-def step_race(context, name, taker):
-    """The taker has read that the lease is gone; the holder's key comes back before it writes."""
+def step_renewal_race(context, name, taker):
+    """Restore the holder's key between the taker's read, which missed it, and its write."""
     fleet = context.fleet
     put = Put(f"shares/holder/{name}@1", name[0].encode())
 
@@ -344,46 +346,46 @@
         txn = platform.store.txn
         done = []
 
-        def hooked(compares, writes):
-            # Only the ledger write of the take-over, not the renewal of the taker's lease.
+        def txn_with_renewal(compares, writes):
+            # Only before the ledger write of the take-over, not before the taker's lease renewal.
             if not done and any("/group/" in one.key for one in writes):
                 done.append(True)
                 renew()
             return txn(compares, writes)
 
-        platform.store.txn = hooked
+        platform.store.txn = txn_with_renewal
         await fleet.run(10_000)
         assert done, "nothing was written"
 
     context.call(race)
 
 
-@when('the budget task of VM "{name}" crashes and is started again')
+@when('the budget task of VM "{name}" crashes and is restarted')
 def step_task_crashes(context, name):
     platform = context.fleet.nodes[name].platform
-    platform.explode = True
+    platform.crash_next_read = True
     context.call(context.fleet.run, 10_000)
     assert context.fleet.nodes[name].restarts == 1
-    assert not context.fleet.tg.cancel_scope.cancel_called, "the task did not come up again"
+    assert not context.fleet.tg.cancel_scope.cancel_called, "the task did not restart"
 
 
-@then('budget VM "{name}" lends nothing when "{borrower}" asks it for {tokens:d} tokens')
+@then('budget VM "{name}" lends nothing when "{borrower}" asks for {tokens:d} tokens')
 def step_lends_nothing(context, name, borrower, tokens):
     fleet = context.fleet
-    request = LoanRequest({NAME: Want(tokens)})
+    request = LoanRequest({NAME: LoanDemand(tokens)})
 
     async def ask():
-        answer = fleet.nodes[name].peers.handlers[LOANS.name]
-        return await answer(fleet.nodes[borrower].vm.id, request)
+        handler = fleet.nodes[name].peers.handlers[LOANS.name]
+        return await handler(fleet.nodes[borrower].vm.id, request)
 
     assert context.call(ask).loans == ()
 
 
 @when(
     "{tokens:d} tokens are taken every {every:d} ms for {ms:d} ms "
-    "at one budget VM after the other, data centre by data centre"
+    "at one budget VM after another, moving between data centres"
 )
-def step_wandering(context, tokens, every, ms):
+def step_moving_traffic(context, tokens, every, ms):
     fleet = context.fleet
     context.calls_before = fleet.store.calls
 
--- a/tests/steps/shares/fakes.py
+++ b/tests/steps/shares/fakes.py
@@ -1,4 +1,4 @@
-"""Budget services of several VMs in one process, with fakes at their ports."""
+"""Budget services of several VMs in one process, with fakes of the services they use."""
 
 from __future__ import annotations
 
@@ -27,8 +27,8 @@
 from hickorybeam.store.port import KeyValue, Put, ReadResult, TxnResult
 from hickorybeam.telemetry import Counters
 
-NEAR_MS = 1
-FAR_MS = 80
+LOCAL_DELAY_MS = 1
+REMOTE_DELAY_MS = 80
 
 
 async def settle():
@@ -38,7 +38,7 @@
 
 
 class QuickClock(ManualClock):
-    """A clock set by hand that is cheap to advance in small steps."""
+    """A manual clock that is cheap to advance in small steps."""
 
     async def advance(self, ms):
         end = self._now + ms
@@ -52,7 +52,7 @@
 
 
 class Store:
-    """The platform's store with its leases; ``calls`` counts what it is asked."""
+    """The platform's store with its leases; ``calls`` counts all calls, ``writes`` the writes."""
 
     def __init__(self, clock):
         self.clock = clock
@@ -90,21 +90,21 @@
 
 
 class FakePlatform:
-    """One VM's way to the store. ``late`` holds writes whose answers were lost on the way."""
+    """One VM's client of the store. ``delayed_writes`` got no response and apply later."""
 
     def __init__(self, store, node):
         self.store = store
         self.node = node
         self.out = False
-        self.lose_answer = False
+        self.lose_response = False
         self.delay_write = False
-        self.land_after_ms = 0
+        self.apply_after_ms = 0
         self.out_after_delay = False
         self.before_write = None
-        self.explode = False
-        self.late = []
+        self.crash_next_read = False
+        self.delayed_writes = []
 
-    async def _enter(self, write=False):
+    async def _begin_call(self, write=False):
         await anyio.lowlevel.checkpoint()
         await self.node.awake()
         self.store.expire()
@@ -114,57 +114,57 @@
             raise GatewayError(ErrorKind.PLATFORM_OUT)
 
     async def read(self, key, *, limit=0):
-        await self._enter()
+        await self._begin_call()
         item = self.store.items.get(key)
         return ReadResult(self.store.revision, (item,) if item else ())
 
     async def read_prefix(self, prefix, *, start="", limit=0):
-        if self.explode:
-            self.explode = False
-            raise RuntimeError("a fault in the client")
-        await self._enter()
+        if self.crash_next_read:
+            self.crash_next_read = False
+            raise RuntimeError("bug in the platform client")
+        await self._begin_call()
         found = tuple(
             item for key, item in sorted(self.store.items.items()) if key.startswith(prefix)
         )
         return ReadResult(self.store.revision, found)
 
     async def txn(self, compares, writes):
-        await self._enter(write=True)
+        await self._begin_call(write=True)
         if self.delay_write:
             self.delay_write = False
-            self.late.append((compares, writes))
+            self.delayed_writes.append((compares, writes))
             self.out = self.out_after_delay
-            if self.land_after_ms:
-                self.node.fleet.tg.start_soon(self._land_soon)
+            if self.apply_after_ms:
+                self.node.fleet.tg.start_soon(self._apply_delayed_writes_soon)
             raise GatewayError(ErrorKind.PLATFORM_UNKNOWN)
         if self.before_write is not None:
             hook, self.before_write = self.before_write, None
             hook()
         result = self.store.txn(compares, writes)
-        if self.lose_answer:
-            self.lose_answer = False
+        if self.lose_response:
+            self.lose_response = False
             raise GatewayError(ErrorKind.PLATFORM_UNKNOWN)
         await self.node.awake()
         return result
 
-    async def _land_soon(self):
-        await self.store.clock.sleep(self.land_after_ms)
-        self.land_late()
+    async def _apply_delayed_writes_soon(self):
+        await self.store.clock.sleep(self.apply_after_ms)
+        self.apply_delayed_writes()
 
-    def land_late(self):
-        for compares, writes in self.late:
+    def apply_delayed_writes(self):
+        for compares, writes in self.delayed_writes:
             self.store.txn(compares, writes)
-        self.late.clear()
+        self.delayed_writes.clear()
 
     async def grant(self, ttl_ms):
-        await self._enter(write=True)
+        await self._begin_call(write=True)
         lease = self.store.next_lease
         self.store.next_lease += 1
         self.store.leases[lease] = (ttl_ms, self.store.clock.now() + ttl_ms)
         return lease
 
     async def keep_alive(self, lease):
-        await self._enter(write=True)
+        await self._begin_call(write=True)
         if lease not in self.store.leases:
             raise GatewayError(ErrorKind.LEASE_LOST)
         ttl, _ = self.store.leases[lease]
@@ -172,7 +172,7 @@
         return ttl
 
     async def revoke(self, lease):
-        await self._enter(write=True)
+        await self._begin_call(write=True)
         self.store.end(lease)
 
     def watch(self, prefix, *, after):
@@ -180,7 +180,7 @@
 
 
 class FakeConfig:
-    """The change tickets in force on one VM."""
+    """The configuration as one VM sees it."""
 
     def __init__(self, accounts):
         self.set(accounts)
@@ -212,7 +212,7 @@
 
 
 class FakeMembers:
-    """Every running VM that this one's data centre can hear."""
+    """Membership: every running VM with a link to this one's data centre, except ``not_live``."""
 
     def __init__(self, fleet, node):
         self.fleet = fleet
@@ -229,7 +229,7 @@
             if one.running
             and not one.paused
             and self.fleet.linked(self.node, one)
-            and (self.node.vm.id.name, one.vm.id.name) not in self.fleet.deaf
+            and (self.node.vm.id.name, one.vm.id.name) not in self.fleet.not_live
         )
 
     def find(self, vm):
@@ -252,7 +252,7 @@
 
 
 class FakePeers:
-    """Asks handlers of other VMs, after the link's delay."""
+    """Calls the handlers of other VMs after the link's delay."""
 
     def __init__(self, fleet, node):
         self.fleet = fleet
@@ -261,7 +261,7 @@
         self.asked = 0
         self.lose_reply = False
         self.duplicate = False
-        self.dumb = False
+        self.cannot_send = False
 
     def serve(self, topic, handler):
         self.handlers[topic.name] = handler
@@ -273,9 +273,9 @@
         self.asked += 1
         other = self.fleet.nodes.get(vm.id.name)
         reachable = other is not None and other.running and self.fleet.linked(self.node, other)
-        if self.dumb or not reachable:
+        if self.cannot_send or not reachable:
             raise GatewayError(ErrorKind.PEER_UNREACHABLE)
-        delay = NEAR_MS if vm.data_centre == self.node.vm.data_centre else FAR_MS
+        delay = LOCAL_DELAY_MS if vm.data_centre == self.node.vm.data_centre else REMOTE_DELAY_MS
         await self.fleet.clock.sleep(delay)
         if other.paused or not other.running:
             raise GatewayError(ErrorKind.PEER_UNREACHABLE)
@@ -290,7 +290,7 @@
 
 
 class NodeClock:
-    """The fleet's clock as a VM sees it that may be paused."""
+    """The fleet's clock for a VM that may be paused."""
 
     def __init__(self, clock, node):
         self.clock = clock
@@ -343,7 +343,7 @@
         return getattr(self, name)
 
     def has(self, name):
-        return name != ports.MEMBERS or not self.fleet.lone
+        return name != ports.MEMBERS or not self.fleet.single
 
     async def awake(self):
         while self.paused:
@@ -376,16 +376,16 @@
 class Fleet:
     """VMs by name, the links between their data centres, and every token they spent."""
 
-    def __init__(self, accounts, *, shares=None, lone=False):
+    def __init__(self, accounts, *, shares=None, single=False):
         self.clock = QuickClock()
         self.store = Store(self.clock)
         self.accounts = accounts
         self.shares = shares or ShareSettings(groups=4)
-        self.lone = lone
+        self.single = single
         self.lowered = False
         self.nodes = {}
         self.cut = set()
-        self.deaf = set()
+        self.not_live = set()
         self.spent = []
         self.faults = []
         self.tg = None
@@ -423,7 +423,7 @@
         return node
 
     async def take(self, name, account, tokens):
-        """Spend at one VM; the clock goes on while the request waits for loans."""
+        """Spend at one VM; the clock advances while the request waits for loans."""
         outcome = []
 
         async def ask():
@@ -451,21 +451,21 @@
             ms -= step
 
     def check(self):
-        """Note where fractions acted on exceed one, or a VM has lent what it no longer has."""
-        for terms in self.accounts:
-            acting = 0
+        """Record a fault if the shares in use exceed one, or a VM has lent more than it holds."""
+        for account in self.accounts:
+            parts_in_use = 0
             for node in self.nodes.values():
                 if not node.running or node.paused:
                     continue
                 if node.budget._may_spend():
-                    acting += node.budget._keeper.usable_parts(terms.name)
-                bucket = node.budget._books.buckets.get(terms.name)
+                    parts_in_use += node.budget._ledger_client.usable_parts(account.name)
+                bucket = node.budget._account_buckets.buckets.get(account.name)
                 if bucket and bucket.lent_capacity > bucket.capacity + 1e-6 and not self.lowered:
                     self.faults.append(
                         (self.clock.now(), node.vm.id.name, "lent", bucket.lent_capacity)
                     )
-            if acting > PARTS_PER_ACCOUNT:
-                self.faults.append((self.clock.now(), "fleet", "acting", acting))
+            if parts_in_use > PARTS_PER_ACCOUNT:
+                self.faults.append((self.clock.now(), "fleet", "parts in use", parts_in_use))
 
 
 def account(name, rate=1_000.0, burst=2_000.0):
@@ -473,10 +473,10 @@
 
 
 def overspent(spent, rate, burst):
-    """Return the worst excess over burst + rate * T over all windows; 0 when all are kept.
+    """Return the largest excess over burst + rate * T over all time windows, at least 0.
 
-    Independent of the code under test: spends are ``(time, tokens)`` in order, and for each
-    end of a window the worst start is kept as in a maximum subarray.
+    Independent of the code under test: ``spent`` has ``(time in ms, tokens)`` in order; for each
+    end of a window the worst start is tracked as in the maximum subarray problem.
     """
     worst = running = 0.0
     last = None
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -165,35 +165,35 @@
     Mutation(
         "a neighbour that took over is heeded",
         "shares/service.py",
-        "            self._keeper.taken()\n",
-        "            self._keeper.lease_state.neighbours_promised(sent, promise_ms)\n",
+        "            self._ledger_client.stop_using_shares()\n",
+        "            self._ledger_client.lease_state.neighbours_promised(asked_at_ms, promise_ms)\n",
         "shares",
     ),
     Mutation(
         "no answer from any neighbour: stop",
         "shares/service.py",
-        "        elif replies:\n            self._keeper.lease_state.neighbours_promised",
-        "        else:\n            self._keeper.lease_state.neighbours_promised",
+        "        elif replies:\n            self._ledger_client.lease_state.neighbours_promised",
+        "        else:\n            self._ledger_client.lease_state.neighbours_promised",
         "shares",
     ),
     Mutation(
         "a lender in doubt of its fractions lends nothing",
         "shares/lending.py",
-        "if not self.lending or not self._may_spend():",
-        "if not self.lending:",
+        "if not self.lending_enabled or not self._may_spend():",
+        "if not self.lending_enabled:",
         "shares",
     ),
     Mutation(
         "fractions under open loans are not given away",
         "shares/service.py",
-        "reserved_parts=self._books.lent_parts(account.name),",
+        "reserved_parts=self._account_buckets.lent_parts(account.name),",
         "reserved_parts=0,",
         "shares",
     ),
     Mutation(
         "a shutdown waits for its open loans",
         "shares/service.py",
-        "        while self._books.lender.open_count():",
+        "        while self._account_buckets.lender.open_count():",
         "        while False:",
         "shares",
     ),
@@ -207,7 +207,7 @@
     Mutation(
         "a lapse is compared in the same transaction",
         "shares/ledger.py",
-        "        compares += [Compare(_holder_key(holder), 0) for holder in gone]\n",
+        "        compares += [Compare(_holder_key(holder), 0) for holder in taken_over]\n",
         "",
         "shares",
     ),
@@ -235,8 +235,9 @@
     Mutation(
         "only rounds of the timer give fractions away",
         "shares/service.py",
-        "        self._read_early = True\n        return request",
-        "        self._messages.post(_Round(gifts=True))\n        return request",
+        "        self._early_read_requested = True\n        return request",
+        "        self._round_requests.post(_RoundRequest(allow_transfers=True))\n"
+        "        return request",
         "shares",
     ),
     Mutation(
@@ -249,15 +250,16 @@
     Mutation(
         "what is known of the ledger outlives a crash of the task",
         "shares/service.py",
-        "        if self._made is None:\n            self._made = self._new_keeper()",
-        "        self._made = self._new_keeper()",
+        "        if self._created_ledger_client is None:\n"
+        "            self._created_ledger_client = self._create_ledger_client()",
+        "        self._created_ledger_client = self._create_ledger_client()",
         "shares",
     ),
     Mutation(
         "a lowered rate is in force at once",
         "shares/service.py",
-        "        if state is not self._applied:",
-        "        if self._applied is None:",
+        "        if state is not self._applied_config:",
+        "        if self._applied_config is None:",
         "shares",
     ),
     # at most once
