--- a/src/hickorybeam/control/__init__.py
+++ b/src/hickorybeam/control/__init__.py
@@ -1,21 +1,21 @@
-"""Per-data-centre leases and orders to engines."""
+"""Control of engines: a lease per data centre, whose holder sends orders to the engines."""
 
 from __future__ import annotations
 
 from hickorybeam.control.lease import ControlLease
+from hickorybeam.control.lease_term import LeaseTerm, WeightTransferLimiter
+from hickorybeam.control.order_client import HttpOrderClient
 from hickorybeam.control.plan import EngineState, Order, OrderKind, next_order
-from hickorybeam.control.sender import HttpOrders
 from hickorybeam.control.service import ControlService
-from hickorybeam.control.lease_term import LeaseTerm, WeightRate
 
 __all__ = (
     "ControlLease",
     "ControlService",
     "EngineState",
-    "HttpOrders",
+    "HttpOrderClient",
     "Order",
     "OrderKind",
     "LeaseTerm",
-    "WeightRate",
+    "WeightTransferLimiter",
     "next_order",
 )
--- a/src/hickorybeam/control/lease.py
+++ b/src/hickorybeam/control/lease.py
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Holder:
-    """Who holds the lease, as written to the platform."""
+    """The holder of the lease, as stored at the platform."""
 
     vm: str
     lease: int
@@ -28,11 +28,11 @@
 
 
 class ControlLease:
-    """Takes, renews and gives up the lease.
+    """Acquires, renews and releases the lease.
 
-    :param data_centre: whose engines it is about.
-    :param vm: this VM's name, for operators who read the key.
-    :param order_timeout_ms: the longest an order of any holder can take.
+    :param data_centre: the data centre whose engines the lease covers.
+    :param vm: this VM's name, stored for operators who read the key.
+    :param order_timeout_ms: upper limit of the duration of any holder's order.
     """
 
     def __init__(
@@ -53,69 +53,69 @@
         self._lease_ms = lease_ms
         self._order_timeout_ms = order_timeout_ms
 
-    async def take(self, *, above: int = 0) -> LeaseTerm | None:
-        """Take the lease if nobody holds it.
+    async def acquire(self, *, seen_fencing: int = 0) -> LeaseTerm | None:
+        """Acquire the lease if it is free.
 
-        :param above: the highest token that an engine has named. It is above the platform's
-            own only when the platform lost its data; engines would then refuse all orders.
-        :return: ``None`` when somebody holds it.
+        :param seen_fencing: the highest token that an engine has reported. It is above the
+            platform's only if the platform lost data; engines would then refuse all orders.
+        :return: ``None`` if another VM holds it.
         """
         if (await self._platform.read(self._holder_key)).items:
             return None
-        fencing, revision = await self._last_fencing()
-        asked_at = self._clock.now()
-        lease = await self._platform.grant(self._lease_ms)
-        holder = _Holder(self._vm, lease, max(fencing, above) + 1)
+        fencing, revision = await self._read_fencing()
+        asked_at_ms = self._clock.now()
+        lease_id = await self._platform.grant(self._lease_ms)
+        holder = _Holder(self._vm, lease_id, max(fencing, seen_fencing) + 1)
         try:
-            done = await self._platform.txn(
+            result = await self._platform.txn(
                 (Compare(self._holder_key, 0), Compare(self._fencing_key, revision)),
                 (
-                    Put(self._holder_key, msgspec.json.encode(holder), lease),
+                    Put(self._holder_key, msgspec.json.encode(holder), lease_id),
                     Put(self._fencing_key, msgspec.json.encode(holder.fencing)),
                 ),
             )
-            taken = done.done
+            acquired = result.done
         except GatewayError as exc:
             if exc.kind is not ErrorKind.PLATFORM_UNKNOWN:
                 raise
-            taken = await self._is_holder(holder)
-        if not taken:
-            await self.give_up(lease)
+            acquired = await self._is_lease_holder(holder)
+        if not acquired:
+            await self.release(lease_id)
             return None
         return LeaseTerm(
-            lease=lease,
+            lease_id=lease_id,
             fencing=holder.fencing,
-            send_until_ms=send_until(asked_at, self._lease_ms),
+            send_until_ms=send_until(asked_at_ms, self._lease_ms),
             send_from_ms=send_from(self._clock.now(), self._order_timeout_ms),
         )
 
-    async def renew(self, turn: LeaseTerm) -> LeaseTerm | None:
-        """Renew the lease; :return: ``None`` when it has lapsed."""
-        asked_at = self._clock.now()
+    async def renew(self, term: LeaseTerm) -> LeaseTerm | None:
+        """Renew the lease; return ``None`` if it has expired."""
+        asked_at_ms = self._clock.now()
         try:
-            ttl_ms = await self._platform.keep_alive(turn.lease)
+            ttl_ms = await self._platform.keep_alive(term.lease_id)
         except GatewayError as exc:
             if exc.kind is ErrorKind.LEASE_LOST:
                 return None
-            # Without an answer the turn stays as long as its old deadline.
-            return turn if self._clock.now() < turn.send_until_ms else None
-        return replace(turn, send_until_ms=send_until(asked_at, min(ttl_ms, self._lease_ms)))
+            # Without a response the term stays valid until its old deadline.
+            return term if self._clock.now() < term.send_until_ms else None
+        return replace(term, send_until_ms=send_until(asked_at_ms, min(ttl_ms, self._lease_ms)))
 
-    async def give_up(self, lease: int) -> None:
-        """End a lease; one that can't be ended lapses by itself."""
+    async def release(self, lease_id: int) -> None:
+        """End a lease; if that fails, it expires by itself."""
         try:
-            await self._platform.revoke(lease)
+            await self._platform.revoke(lease_id)
         except GatewayError:
             return
 
-    async def _last_fencing(self) -> tuple[int, int]:
+    async def _read_fencing(self) -> tuple[int, int]:
         found = await self._platform.read(self._fencing_key)
         if not found.items:
             return 0, 0
         return msgspec.json.decode(found.items[0].value, type=int), found.items[0].mod_revision
 
-    async def _is_holder(self, mine: _Holder) -> bool:
+    async def _is_lease_holder(self, expected: _Holder) -> bool:
         found = await self._platform.read(self._holder_key)
         return bool(found.items) and (
-            msgspec.json.decode(found.items[0].value, type=_Holder) == mine
+            msgspec.json.decode(found.items[0].value, type=_Holder) == expected
         )
--- a/src/hickorybeam/control/sender.py
+++ b/src/hickorybeam/control/order_client.py
@@ -1,4 +1,4 @@
-"""Orders to engines over HTTP: each on a connection of its own, with a short limit."""
+"""Client that sends orders to engines over HTTP: one connection per order, a short timeout."""
 
 from __future__ import annotations
 
@@ -17,26 +17,26 @@
     from hickorybeam.control.plan import Order
     from hickorybeam.model import BackendServer
 
-__all__ = ("HttpOrders", "OrderPort")
+__all__ = ("HttpOrderClient", "OrderClient")
 
 HTTP_OK = 200
 HTTP_CONFLICT = 409
 MS_PER_SECOND = 1000
 
 
-class _Loaded(msgspec.Struct):
+class _LoadedModel(msgspec.Struct):
     name: str
     version: str = ""
 
 
-class _State(msgspec.Struct):
-    models: tuple[_Loaded, ...] = ()
+class _EngineStateBody(msgspec.Struct):
+    models: tuple[_LoadedModel, ...] = ()
     role: str = ""
     fencing: int = 0
 
 
-class OrderPort(Protocol):
-    """What control asks of engines."""
+class OrderClient(Protocol):
+    """Reads the state of engines and sends them orders."""
 
     async def state(self, engine: BackendServer) -> EngineState:
         """Read what an engine has loaded."""
@@ -45,15 +45,15 @@
     async def send(
         self, engine: BackendServer, order: Order, *, fencing: int, may_send: Callable[[], bool]
     ) -> None:
-        """Send an order if ``may_send`` says so at the last moment."""
+        """Send an order if ``may_send`` returns true right before the send."""
         ...
 
 
-class HttpOrders:
-    """Speaks to engines.
+class HttpOrderClient:
+    """Order client over HTTP.
 
-    :param timeout_ms: the limit of one order, after which its connection is closed; a new
-        holder of the lease waits this long for orders of the one before.
+    :param timeout_ms: limit of one order, after which its connection is closed; a new holder of
+        the lease waits this long for orders of the previous one.
     """
 
     def __init__(self, *, timeout_ms: int) -> None:
@@ -61,11 +61,11 @@
 
     async def state(self, engine: BackendServer) -> EngineState:
         """Read what an engine has loaded."""
-        response = await self._exchange(engine, "GET", "/state", b"", lambda: True)
+        response = await self._send_request(engine, "GET", "/state", b"", lambda: True)
         if response.status != HTTP_OK:
             raise GatewayError(ErrorKind.BACKEND_FAILED, f"{engine.name}: {response.status}")
         try:
-            found = msgspec.json.decode(response.content, type=_State)
+            found = msgspec.json.decode(response.content, type=_EngineStateBody)
         except msgspec.MsgspecError as exc:
             raise GatewayError(ErrorKind.BACKEND_FAILED, f"{engine.name}: {exc}") from exc
         models = {loaded.name: loaded.version for loaded in found.models}
@@ -74,9 +74,10 @@
     async def send(
         self, engine: BackendServer, order: Order, *, fencing: int, may_send: Callable[[], bool]
     ) -> None:
-        """Send an order; ``FENCED`` when the engine has seen a newer token.
+        """Send an order; raise ``FENCED`` if the engine has seen a newer token.
 
-        Any other error leaves the outcome open: it is read back, never sent again blindly.
+        After any other error the outcome is unknown: it is read back, and no order is retried
+        before that.
         """
         body = {
             "order": order.kind.value,
@@ -86,13 +87,13 @@
             "fencing": fencing,
         }
         raw = msgspec.json.encode(body)
-        response = await self._exchange(engine, "POST", "/orders", raw, may_send)
+        response = await self._send_request(engine, "POST", "/orders", raw, may_send)
         if response.status == HTTP_CONFLICT:
             raise GatewayError(ErrorKind.FENCED, engine.name)
         if response.status != HTTP_OK:
             raise GatewayError(ErrorKind.BACKEND_FAILED, f"{engine.name}: {response.status}")
 
-    async def _exchange(
+    async def _send_request(
         self,
         engine: BackendServer,
         method: str,
@@ -113,7 +114,7 @@
                 stream = await httpcore.AnyIOBackend().connect_tcp(engine.host, engine.port)
                 conn = httpcore.AsyncHTTP11Connection(origin, stream)
                 try:
-                    # The last look at the lease comes after all that may take long.
+                    # The lease is checked after connecting, which may take long.
                     if not may_send():
                         raise GatewayError(ErrorKind.LEASE_LOST, ran=Ran.NO)
                     response = await conn.handle_async_request(request)
--- a/src/hickorybeam/control/plan.py
+++ b/src/hickorybeam/control/plan.py
@@ -1,4 +1,4 @@
-"""Which orders bring a data centre's engines from the state seen to the state wanted: pure."""
+"""Which orders bring a data centre's engines to the configured state; without I/O."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
     from hickorybeam.model import ConfigState, ModelService
 
-__all__ = ("EngineState", "Order", "OrderKind", "engines_of", "next_order")
+__all__ = ("EngineState", "Order", "OrderKind", "controllable_engines", "next_order")
 
 
 class OrderKind(Enum):
-    """What an engine can be told."""
+    """What an order makes an engine do."""
 
     LOAD = "load"
     UNLOAD = "unload"
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Order:
-    """One order to one engine; ``weight_bytes`` is what it takes from the weight store."""
+    """One order to one engine; ``weight_bytes`` is what it transfers from the weight store."""
 
     kind: OrderKind
     model: str = ""
@@ -37,15 +37,15 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class EngineState:
-    """What an engine says of itself: versions by model, its role, the highest token seen."""
+    """An engine's reported state: versions by model, its role, the highest fencing token seen."""
 
     models: Mapping[str, str] = field(default_factory=dict)
     role: str = ""
     fencing: int = 0
 
 
-def engines_of(config: ConfigState, data_centre: str) -> tuple[BackendServer, ...]:
-    """Return the engines of a data centre that take orders; a leaving one takes none."""
+def controllable_engines(config: ConfigState, data_centre: str) -> tuple[BackendServer, ...]:
+    """Return the engines of a data centre that are sent orders; leaving ones are not."""
     return tuple(
         backend
         for backend in config.backends.values()
@@ -56,33 +56,33 @@
 
 
 def next_order(config: ConfigState, engine: BackendServer, seen: EngineState) -> Order | None:
-    """Return the next order for an engine, or ``None`` when it is as wanted.
+    """Return the next order for an engine, or ``None`` if it is in the configured state.
 
-    One order at a time: its outcome is read back before the next. What is no longer wanted
-    goes first, since it holds the memory that a load needs; an adapter goes before its base
-    and comes after it.
+    One order at a time: its outcome is read back before the next. Unloads come first, since they
+    free the memory that a load needs. An adapter is unloaded before its base model and loaded
+    after it.
     """
     wanted = {
         name: config.models[name]
         for name in engine.serves
         if name in config.models and engine.region in config.models[name].regions
     }
-    gone = sorted(
+    to_unload = sorted(
         (name for name in seen.models if name not in wanted),
         key=lambda name: (not _is_adapter(config.models.get(name)), name),
     )
-    if gone:
-        return Order(kind=OrderKind.UNLOAD, model=gone[0], version=seen.models[gone[0]])
-    due = sorted(
+    if to_unload:
+        return Order(kind=OrderKind.UNLOAD, model=to_unload[0], version=seen.models[to_unload[0]])
+    to_load = sorted(
         (model for name, model in wanted.items() if seen.models.get(name) != model.version),
         key=lambda model: (_is_adapter(model), model.name),
     )
-    if due:
+    if to_load:
         return Order(
             kind=OrderKind.LOAD,
-            model=due[0].name,
-            version=due[0].version,
-            weight_bytes=due[0].weight_bytes,
+            model=to_load[0].name,
+            version=to_load[0].version,
+            weight_bytes=to_load[0].weight_bytes,
         )
     if engine.role and engine.role != seen.role:
         return Order(kind=OrderKind.ROLE, role=engine.role)
--- a/tests/steps/control/control_machine.py
+++ b/tests/steps/control/control_machine.py
@@ -1,4 +1,4 @@
-"""A state machine of holders and engines; the oracle reads only what took effect, and when."""
+"""A state machine of lease holders and engines; its oracle uses only the orders in effect."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
         super().__init__()
         self.loop = asyncio.new_event_loop()
         self.clock = ManualClock()
-        self.stand_in = self.call(self.make)
+        self.stand_in = self.call(self.create_stand_in)
         self.platforms = [MemoryPlatform(self.stand_in) for _ in range(2)]
         self.leases = [
             ControlLease(
@@ -43,14 +43,14 @@
             )
             for index, platform in enumerate(self.platforms)
         ]
-        self.turns = [None, None]
-        self.on_the_way = []  # (when it takes effect, number, token) at the lax engine
+        self.terms = [None, None]
+        self.in_flight_orders = []  # (time of effect in ms, order number, token) at the lax engine
         self.sent = 0
         self.effects = []
-        self.strict = 0
+        self.strict_token = 0
         self.strict_effects = []
 
-    async def make(self):
+    async def create_stand_in(self):
         return PlatformStandIn(self.clock)
 
     def teardown(self):
@@ -65,56 +65,61 @@
     @rule(ms=st.sampled_from([50, 400, 1_400, 1_700, 3_000, 5_500, 7_000]))
     def time_passes(self, ms):
         end = self.clock._now + ms
-        while self.on_the_way and self.on_the_way[0][0] <= end:
-            _, _, token = heapq.heappop(self.on_the_way)
+        while self.in_flight_orders and self.in_flight_orders[0][0] <= end:
+            _, _, token = heapq.heappop(self.in_flight_orders)
             self.effects.append(token)
         self.clock._now = end
 
     def holding(self):
-        return [who for who, turn in enumerate(self.turns) if turn is not None]
+        return [who for who, term in enumerate(self.terms) if term is not None]
 
     @rule(who=HOLDERS)
     @precondition(lambda self: len(self.holding()) < 2)
     def take(self, who):
-        who = who if self.turns[who] is None else 1 - who
-        self.turns[who] = self.call(self.leases[who].take)
+        who = who if self.terms[who] is None else 1 - who
+        self.terms[who] = self.call(self.leases[who].acquire)
 
     @rule(which=HOLDERS)
     @precondition(lambda self: self.holding())
     def renew(self, which):
         who = self.holding()[which % len(self.holding())]
-        self.turns[who] = self.call(self.leases[who].renew, self.turns[who])
+        self.terms[who] = self.call(self.leases[who].renew, self.terms[who])
 
-    @rule(which=HOLDERS, what=st.sampled_from(["give up", "restart", "lose", "out", "in"]))
+    @rule(
+        which=HOLDERS,
+        what=st.sampled_from(["release", "restart", "lose response", "unavailable", "available"]),
+    )
     def disturb(self, which, what):
         faults = self.platforms[which].faults
         match what:
-            case "give up" if self.turns[which] is not None:
-                self.call(self.leases[which].give_up, self.turns[which].lease)
-                self.turns[which] = None
+            case "release" if self.terms[which] is not None:
+                self.call(self.leases[which].release, self.terms[which].lease_id)
+                self.terms[which] = None
             case "restart":
-                self.turns[which] = None
-            case "lose":
+                self.terms[which] = None
+            case "lose response":
                 faults.lose_answers = 1
-            case "out" | "in":
-                faults.out = what == "out"
+            case "unavailable" | "available":
+                faults.out = what == "unavailable"
 
     @rule(which=HOLDERS, delay=st.sampled_from([0, ORDER_MS // 2, ORDER_MS]))
     @precondition(lambda self: self.holding())
     def send(self, which, delay):
-        turn = self.turns[self.holding()[which % len(self.holding())]]
-        if turn.may_send(self.clock.now()):
+        term = self.terms[self.holding()[which % len(self.holding())]]
+        if term.may_send(self.clock.now()):
             self.sent += 1
-            heapq.heappush(self.on_the_way, (self.clock.now() + delay, self.sent, turn.fencing))
+            heapq.heappush(
+                self.in_flight_orders, (self.clock.now() + delay, self.sent, term.fencing)
+            )
 
     @rule(which=HOLDERS)
     @precondition(lambda self: self.holding())
     def send_late_to_strict(self, which):
-        # The token alone must do here, so the turn's times are not asked.
-        turn = self.turns[self.holding()[which % len(self.holding())]]
-        if turn.fencing >= self.strict:
-            self.strict = turn.fencing
-            self.strict_effects.append(turn.fencing)
+        # This engine checks tokens, which must suffice: the term's time limits are not applied.
+        term = self.terms[self.holding()[which % len(self.holding())]]
+        if term.fencing >= self.strict_token:
+            self.strict_token = term.fencing
+            self.strict_effects.append(term.fencing)
 
     @invariant()
     def tokens_never_fall(self):
@@ -124,11 +129,11 @@
     @invariant()
     def one_sender_at_a_time(self):
         now = self.clock.now()
-        assert sum(turn is not None and turn.may_send(now) for turn in self.turns) <= 1
+        assert sum(term is not None and term.may_send(now) for term in self.terms) <= 1
 
     @invariant()
     def tokens_differ(self):
-        tokens = [turn.fencing for turn in self.turns if turn is not None]
+        tokens = [term.fencing for term in self.terms if term is not None]
         assert len(set(tokens)) == len(tokens)
 
 
--- a/tests/steps/control/control_steps.py
+++ b/tests/steps/control/control_steps.py
@@ -5,7 +5,7 @@
 import anyio
 from behave import given, then, when
 
-from hickorybeam.control import ControlService, EngineState, HttpOrders, Order, OrderKind
+from hickorybeam.control import ControlService, EngineState, HttpOrderClient, Order, OrderKind
 from hickorybeam.errors import ErrorKind, GatewayError, Ran
 from hickorybeam.kernel import Kernel, Service
 from hickorybeam.model import BackendKind, BackendServer, ChangeTicket, ModelService, ObjectRef
@@ -16,16 +16,16 @@
 from hickorybeam.tickets import LogState, apply
 from steps.tickets.fakes import FleetClock, settle
 
-ORDER_MS = 100
+ORDER_DELAY_MS = 100
 
 
 class FakeEngine:
-    def __init__(self, *, checks):
-        self.checks, self.models, self.role, self.fencing = checks, {}, "", 0
-        self.effects, self.lose = [], 0
+    def __init__(self, *, checks_fencing):
+        self.checks_fencing, self.models, self.role, self.fencing = checks_fencing, {}, "", 0
+        self.effects, self.lost_responses = [], 0
 
     def receive(self, order, fencing):
-        if self.checks and fencing < self.fencing:
+        if self.checks_fencing and fencing < self.fencing:
             raise GatewayError(ErrorKind.FENCED)
         self.fencing = max(fencing, self.fencing)
         self.effects.append((fencing, order))
@@ -36,13 +36,13 @@
                 self.models.pop(order.model, None)
             case OrderKind.ROLE:
                 self.role = order.role
-        if self.lose:
-            self.lose -= 1
+        if self.lost_responses:
+            self.lost_responses -= 1
             raise GatewayError(ErrorKind.BACKEND_SILENT)
 
 
-class FakeOrders:
-    """Engines of one fleet as one VM reaches them; a paused VM sends nothing until it is back."""
+class FakeOrderClient:
+    """One VM's order client for the fake engines; while paused it sends nothing."""
 
     def __init__(self, fleet):
         self.fleet, self.resumed = fleet, anyio.Event()
@@ -54,7 +54,7 @@
         return EngineState(models=dict(found.models), role=found.role, fencing=found.fencing)
 
     async def send(self, engine, order, *, fencing, may_send):
-        await self.fleet.clock.sleep(ORDER_MS)
+        await self.fleet.clock.sleep(ORDER_DELAY_MS)
         await self.resumed.wait()
         if not may_send():
             raise GatewayError(ErrorKind.LEASE_LOST)
@@ -88,20 +88,20 @@
         self.clock = FleetClock()
         self.stand_in = PlatformStandIn(self.clock)
         self.engines = {
-            "strict": FakeEngine(checks=True),
-            "lax": FakeEngine(checks=False),
-            "far": FakeEngine(checks=False),
+            "strict": FakeEngine(checks_fencing=True),
+            "lax": FakeEngine(checks_fencing=False),
+            "far": FakeEngine(checks_fencing=False),
         }
-        self.services, self.platforms, self.orders, self.old = {}, {}, {}, None
+        self.services, self.platforms, self.order_clients, self.old_holder = {}, {}, {}, None
         self.state = apply(LogState(), self.first_ticket())
 
     def first_ticket(self):
-        def engine(name, centre="a"):
+        def engine(name, data_centre="a"):
             return BackendServer(
                 name=name,
                 kind=BackendKind.ENGINE,
                 region="r",
-                data_centre=centre,
+                data_centre=data_centre,
                 host="127.0.0.1",
                 port=1,
                 serves=("tune", "base"),
@@ -130,9 +130,12 @@
                     control=ControlSettings(weight_store_bytes_per_s=1_000_000.0),
                 )
                 self.platforms[name] = MemoryPlatform(self.stand_in)
-                self.orders[name] = FakeOrders(self)
+                self.order_clients[name] = FakeOrderClient(self)
                 self.services[name] = ControlService(
-                    cfg=cfg, clock=self.clock, counters=Counters(), orders=self.orders[name]
+                    cfg=cfg,
+                    clock=self.clock,
+                    counters=Counters(),
+                    order_client=self.order_clients[name],
                 )
                 kernel = Kernel(self.clock)
                 kernel.add(self.platforms[name])
@@ -160,12 +163,12 @@
 
 
 @then("exactly one control VM holds the lease")
-def step_one(context):
+def step_one_holder(context):
     assert len(context.fleet.holders()) == 1, context.fleet.holders()
 
 
 @then('engines "{names}" hold models "{models}"')
-def step_hold(context, names, models):
+def step_hold_models(context, names, models):
     for name in names.split():
         found = context.fleet.engines[name].models
         assert found == dict(pair.split(":") for pair in models.split()), (name, found)
@@ -178,13 +181,13 @@
 
 
 @then('on engines "{names}" adapter "{adapter}" was loaded after "{base}"')
-def step_order(context, names, adapter, base):
+def step_load_order(context, names, adapter, base):
     for name in names.split():
         loaded = [order.model for _, order in context.fleet.engines[name].effects]
         assert loaded == [base, adapter], loaded
 
 
-@when('the wanted state moves model "{name}" to "{version}"')
+@when('the configured state moves model "{name}" to "{version}"')
 def step_version(context, name, version):
     model = context.fleet.state.config.models[name]
     context.call(lambda: context.fleet.change(models=(replace(model, version=version),)))
@@ -195,62 +198,62 @@
     context.fleet.change(backends=tuple(replace(engine, **fields) for engine in engines))
 
 
-@when('the wanted state drops model "{name}"')
+@when('the configured state removes model "{name}"')
 def step_drop(context, name):
     change_engines(context, serves=("base",))
     context.fleet.change(deleted=(ObjectRef("models", name),))
 
 
-@when('the wanted state sets role "{role}"')
+@when('the configured state sets role "{role}"')
 def step_role(context, role):
     change_engines(context, role=role)
 
 
-@when('the wanted state adds model "{name}" of {size:d} bytes')
-def step_big(context, name, size):
+@when('the configured state adds model "{name}" of {size:d} bytes')
+def step_add_model(context, name, size):
     model = ModelService(name=name, regions=("r",), weight_bytes=size)
     context.fleet.change(models=(model,))
     change_engines(context, serves=("base", "tune", name))
 
 
-@when('the wanted state lets engine "{name}" leave')
+@when('the configured state lets engine "{name}" leave')
 def step_leave(context, name):
     engine = context.fleet.state.config.backends[name]
     context.fleet.change(backends=(replace(engine, leaving=True),))
 
 
 @when("the control holder {event}")
-def step_event(context, event):
+def step_holder_event(context, event):
     fleet = context.fleet
-    (fleet.old,) = fleet.holders()
+    (fleet.old_holder,) = fleet.holders()
     match event:
         case "is paused":
-            fleet.orders[fleet.old].resumed = anyio.Event()
-            context.call(fleet.platforms[fleet.old].faults.set_out, True)
+            fleet.order_clients[fleet.old_holder].resumed = anyio.Event()
+            context.call(fleet.platforms[fleet.old_holder].faults.set_out, True)
         case "loses the platform":
-            context.call(fleet.platforms[fleet.old].faults.set_out, True)
+            context.call(fleet.platforms[fleet.old_holder].faults.set_out, True)
         case "is drained":
-            context.call(fleet.services[fleet.old].drain)
-        case "has its lease lapsed":
-            context.call(fleet.platforms[fleet.old].faults.set_out, True)
+            context.call(fleet.services[fleet.old_holder].drain)
+        case "has its lease expired":
+            context.call(fleet.platforms[fleet.old_holder].faults.set_out, True)
             for lease in fleet.stand_in.store.leases():
                 context.call(fleet.stand_in.lapse, lease)
 
 
-@when("the old control holder is back")
-def step_back(context):
+@when("the old control holder recovers")
+def step_holder_recovers(context):
     fleet = context.fleet
-    context.call(fleet.platforms[fleet.old].faults.set_out, False)
-    context.call(fleet.orders[fleet.old].resumed.set)
+    context.call(fleet.platforms[fleet.old_holder].faults.set_out, False)
+    context.call(fleet.order_clients[fleet.old_holder].resumed.set)
 
 
 @then("the other control VM holds the lease")
-def step_other(context):
+def step_other_holder(context):
     (holder,) = context.fleet.holders()
-    assert holder != context.fleet.old
+    assert holder != context.fleet.old_holder
 
 
-@then("no engine saw an order of an older token after a newer one")
+@then("no engine executed an order with an older token after a newer one")
 def step_tokens(context):
     for engine in context.fleet.engines.values():
         tokens = [token for token, _ in engine.effects]
@@ -258,23 +261,23 @@
     assert max(engine.fencing for engine in context.fleet.engines.values()) > 1
 
 
-@when("the platform is out for the control VMs")
-def step_out(context):
+@when("the platform is unavailable for the control VMs")
+def step_unavailable(context):
     context.call(context.fleet.stand_in.faults.set_out, True)
 
 
-@when("the platform is back for the control VMs")
-def step_in(context):
+@when("the platform is available again for the control VMs")
+def step_available(context):
     context.call(context.fleet.stand_in.faults.set_out, False)
 
 
-@when('the next answer of engine "{name}" is lost')
-def step_lose(context, name):
-    context.fleet.engines[name].lose = 1
+@when('the next response of engine "{name}" is lost')
+def step_lose_response(context, name):
+    context.fleet.engines[name].lost_responses = 1
 
 
-@when("the next platform answers of the control VMs are lost")
-def step_lose_platform(context):
+@when("the next platform responses to the control VMs are lost")
+def step_lose_platform_responses(context):
     context.fleet.stand_in.faults.lose_answers = 3
 
 
@@ -296,9 +299,9 @@
     assert len(holding) == count, holding
 
 
-@given("a served engine that checks fencing")
-def step_served(context):
-    context.served = context.stack.enter_context(
+@given("an engine stand-in that checks fencing")
+def step_stand_in(context):
+    context.stand_in = context.stack.enter_context(
         context.portal.wrap_async_context_manager(engine_standin.serve(checks_fencing=True))
     )
     context.engine = BackendServer(
@@ -307,9 +310,9 @@
         region="r",
         data_centre="a",
         host="127.0.0.1",
-        port=context.served.port,
+        port=context.stand_in.port,
     )
-    context.orders = HttpOrders(timeout_ms=1_000)
+    context.order_client = HttpOrderClient(timeout_ms=1_000)
 
 
 def send(context, model, version, token, *, may_send=True, port=None):
@@ -317,24 +320,25 @@
     order = Order(kind=OrderKind.LOAD, model=model, version=version)
 
     async def run():
-        await context.orders.send(engine, order, fencing=token, may_send=lambda: may_send)
+        await context.order_client.send(engine, order, fencing=token, may_send=lambda: may_send)
 
     context.call(run)
 
 
 @when(
-    'control sends load of "{model}" version "{version}" with token {token:d} to the served engine'
+    'control sends load of "{model}" version "{version}" with token {token:d}'
+    " to the engine stand-in"
 )
 def step_send(context, model, version, token):
     send(context, model, version, token)
 
 
 @then(
-    'the served engine\'s state read by control has "{model}" at version "{version}"'
+    'the engine stand-in\'s state read by control has "{model}" at version "{version}"'
     " and token {token:d}"
 )
 def step_state(context, model, version, token):
-    state = context.call(context.orders.state, context.engine)
+    state = context.call(context.order_client.state, context.engine)
     assert state.models[model] == version and state.fencing == token, state
 
 
@@ -344,7 +348,7 @@
     except GatewayError as exc:
         assert exc.kind.value == kind, exc
         return exc
-    raise AssertionError("the order was taken")
+    raise AssertionError("the order was accepted")
 
 
 @then(
@@ -354,11 +358,11 @@
     send_fails(context, kind, model, version, token)
 
 
-@then('control sending with a lease that ended fails with "{kind}" and nothing arrives')
-def step_send_ended(context, kind):
-    before = context.call(context.orders.state, context.engine)
+@then('control sending with an expired lease fails with "{kind}" and nothing arrives')
+def step_send_expired(context, kind):
+    before = context.call(context.order_client.state, context.engine)
     send_fails(context, kind, "late", "1", 9, may_send=False)
-    assert context.call(context.orders.state, context.engine) == before
+    assert context.call(context.order_client.state, context.engine) == before
 
 
 @then('control sending to a closed port fails with "{kind}" as not run')
@@ -379,8 +383,8 @@
     context.fleet.engines[name].fencing = token
 
 
-@given("two control holders by the clock")
-def step_two(context):
+@given("two control holders with a manual clock")
+def step_two_holders(context):
     from steps.control.control_machine import ControlMachine
 
     context.machine = ControlMachine()
@@ -388,19 +392,22 @@
     context.machine.take(0)
 
 
-@when("the first control holder sends {ms:d} ms after taking the lease, {delay:d} ms on the way")
+@when(
+    "the first control holder sends {ms:d} ms after acquiring the lease,"
+    " and the order takes {delay:d} ms"
+)
 def step_first_sends(context, ms, delay):
     context.machine.time_passes(ms)
     context.machine.send(0, delay)
     assert context.machine.sent == 1
 
 
-@when("the second control holder takes the lease at {ms:d} ms and sends as soon as it may")
+@when("the second control holder acquires the lease at {ms:d} ms and sends as soon as it may")
 def step_second_sends(context, ms):
     machine = context.machine
     machine.time_passes(ms - (machine.clock.now() - 1_000))
     machine.take(1)
-    assert machine.turns[1] is not None
+    assert machine.terms[1] is not None
     while machine.sent < 2:
         machine.send(1, 0)
         machine.time_passes(50)
