--- a/src/hickorybeam/backends/exchange.py
+++ b/src/hickorybeam/backends/exchange.py
@@ -1,4 +1,4 @@
-"""One request and its answer on one connection, with a limit on every silence."""
+"""One request and its response on one connection, with a timeout for every read."""
 
 from __future__ import annotations
 
@@ -20,25 +20,25 @@
 
 __all__ = ("Exchange", "ExchangeError")
 
-LOST = (httpcore.NetworkError, anyio.ClosedResourceError, BrokenResponseError)
+CONNECTION_ERRORS = (httpcore.NetworkError, anyio.ClosedResourceError, BrokenResponseError)
 
 
 class ExchangeError(Exception):
-    """The answer did not come, or not whole, after bytes of the request may have been sent.
+    """The response is missing or incomplete, and bytes of the request may have been sent.
 
-    :param silent: the connection fell silent; otherwise it broke.
+    :param timed_out: the connection fell silent; otherwise it broke.
     """
 
-    def __init__(self, *, silent: bool) -> None:
-        super().__init__("fell silent" if silent else "broke off")
-        self.silent = silent
+    def __init__(self, *, timed_out: bool) -> None:
+        super().__init__("fell silent" if timed_out else "broke off")
+        self.timed_out = timed_out
 
 
 class Exchange:
-    """Sends a request and reads the answer; whoever opens it must ``close`` it.
+    """Sends a request and reads the response; whoever opens it must ``close`` it.
 
-    The connection goes back to the pool only when the answer was read to its end. A late or
-    cancelled one is closed with it, so no other request can ever receive its answer.
+    The connection returns to the pool only if the response was read to its end. With a late or
+    cancelled response it is closed, so that no other request can receive that response.
     """
 
     def __init__(
@@ -48,7 +48,7 @@
         conn: Connection,
         backend: BackendServer,
         *,
-        between_ms: int,
+        read_timeout_ms: int,
     ) -> None:
         self.status = 0
         self.headers: list[tuple[bytes, bytes]] = []
@@ -56,78 +56,84 @@
         self._watchdog = watchdog
         self._conn = conn
         self._backend = backend
-        self._between_ms = between_ms
-        self._watch = watchdog.add(between_ms, self._on_silence)
+        self._read_timeout_ms = read_timeout_ms
+        self._deadline = watchdog.add(read_timeout_ms, self._shut_down_socket)
 
     async def send(
-        self, method: str, target: bytes, headers: RawHeaders, body: bytes, *, first_byte_ms: int
+        self,
+        method: str,
+        target: bytes,
+        headers: RawHeaders,
+        body: bytes,
+        *,
+        first_byte_timeout_ms: int,
     ) -> None:
         """Send the request and read status and headers.
 
-        :raises ExchangeError: the answer did not come.
-        :raises GatewayError: ``BAD_REQUEST`` when the request cannot be written as HTTP.
+        :raises ExchangeError: the response did not arrive.
+        :raises GatewayError: ``BAD_REQUEST`` if the request cannot be written as HTTP.
         """
         if body or method in ("POST", "PUT", "PATCH"):
             headers = [*headers, (b"content-length", b"%d" % len(body))]
-        self._watchdog.extend(self._watch, first_byte_ms)
+        self._watchdog.extend(self._deadline, first_byte_timeout_ms)
         try:
             await self._conn.http.send(method, target, headers, body)
-        except LOST as exc:
-            raise ExchangeError(silent=self._watch.expired) from exc
+        except CONNECTION_ERRORS as exc:
+            raise ExchangeError(timed_out=self._deadline.expired) from exc
         except InvalidRequestError as exc:
             raise GatewayError(ErrorKind.BAD_REQUEST, "not valid as HTTP") from exc
         self.status = self._conn.http.status
         self.headers = self._conn.http.headers
 
     def header(self, name: bytes) -> str:
-        """Return a header of the answer, empty if it has none."""
+        """Return a header of the response, empty if it is missing."""
         for key, value in self.headers:
             if key.lower() == name:
                 return value.decode("latin-1")
         return ""
 
     async def next_chunk(self) -> bytes:
-        """Return the next bytes of the body, empty at its proper end.
+        """Return the next bytes of the body, empty at its end.
 
-        The time between two calls does not count as silence of the backend server.
+        The time between two calls of this method does not count towards the read timeout.
 
-        :raises ExchangeError: the body ended early or fell silent.
+        :raises ExchangeError: the body ended early or timed out.
         """
         try:
             return await self._conn.http.next_chunk()
-        except LOST as exc:
-            raise ExchangeError(silent=self._watch.expired) from exc
+        except CONNECTION_ERRORS as exc:
+            raise ExchangeError(timed_out=self._deadline.expired) from exc
         finally:
-            self._watchdog.pause(self._watch)
+            self._watchdog.pause(self._deadline)
 
-    def expect(self) -> None:
-        """Start the limit for the next bytes of the body."""
-        self._watchdog.extend(self._watch, self._between_ms)
+    def start_read_timeout(self) -> None:
+        """Start the timeout for the next bytes of the body."""
+        self._watchdog.extend(self._deadline, self._read_timeout_ms)
 
-    async def read(self, limit: int) -> bytes:
-        """Read the whole body, up to a limit in bytes."""
+    async def read(self, max_bytes: int) -> bytes:
+        """Read the whole body, or raise if it is longer than ``max_bytes``."""
         parts = []
         size = 0
         while chunk := await self.next_chunk():
             size += len(chunk)
-            if size > limit:
-                raise ExchangeError(silent=False)
+            if size > max_bytes:
+                raise ExchangeError(timed_out=False)
             parts.append(chunk)
-            self.expect()
+            self.start_read_timeout()
         return b"".join(parts)
 
     async def close(self) -> None:
-        """End the exchange; the connection is reused only after a whole answer."""
-        self._watchdog.remove(self._watch)
+        """End the exchange; the connection is reused only after a complete response."""
+        self._watchdog.remove(self._deadline)
         if self._conn.http.reusable:
-            self._pool.give_back(self._conn)
+            self._pool.release(self._conn)
             return
         with anyio.CancelScope(shield=True):
             await self._conn.http.aclose()
-            if self._watch.expired:
-                await self._pool.forget(self._backend)
+            if self._deadline.expired:
+                await self._pool.close_idle(self._backend)
 
-    def _on_silence(self) -> None:
-        # The read that waits returns at once, as if the other end had closed.
+    def _shut_down_socket(self) -> None:
+        # A pending read returns at once, as if the other end had closed.
         with contextlib.suppress(OSError):
             self._conn.socket.shutdown(socket.SHUT_RDWR)
