--- a/bench/silence.py
+++ b/bench/silence.py
@@ -107,7 +107,7 @@
         )
         await line("plain service", 300, times, rig, plain_service)
     async with front.Rig() as rig:
-        cfg = front.LIMITS
+        cfg = front.FRONT_SETTINGS
         await line("caller without a request", cfg.idle_ms, times, rig, caller_without_request)
         await line(
             "caller in the middle of a head", cfg.body_timeout_ms, times, rig, caller_in_head
--- a/src/hickorybeam/dispatch/checks.py
+++ b/src/hickorybeam/dispatch/checks.py
@@ -36,7 +36,7 @@
     :param region: the region of this VM, which sees the call's data by running it.
     """
     account = state.accounts.get(call.account)
-    if account is None or state.is_withdrawn(call.key_digest):
+    if account is None or state.is_revoked(call.key_digest):
         raise GatewayError(ErrorKind.KEY_WITHDRAWN)
     allowed = state.allowed_regions(account)
     if allowed is None:
@@ -53,7 +53,7 @@
 def fault_of_running(call: Call, state: ConfigState, *, regions: set[str]) -> GatewayError | None:
     """Return why a call whose data is in these regions must end, if it must."""
     account = state.accounts.get(call.account)
-    if account is None or state.is_withdrawn(call.key_digest):
+    if account is None or state.is_revoked(call.key_digest):
         return GatewayError(ErrorKind.KEY_WITHDRAWN)
     allowed = state.allowed_regions(account)
     if allowed is None or not regions <= allowed:
--- a/src/hickorybeam/front/gate.py
+++ b/src/hickorybeam/front/context.py
@@ -21,16 +21,16 @@
     from hickorybeam.settings import Settings
     from hickorybeam.telemetry import Counters
 
-__all__ = ("REDIRECTED", "Gate")
+__all__ = ("REDIRECTED_HEADER", "FrontContext")
 
 # A caller that follows the entries of a refusal says so with this header.
-REDIRECTED = b"x-hickorybeam-redirected"
+REDIRECTED_HEADER = b"x-hickorybeam-redirected"
 # How many other VMs a refusal names; a caller needs one, and two more in case it fails.
 NAMED_ENTRIES = 3
 
 
 @dataclass(slots=True, kw_only=True)
-class Gate:
+class FrontContext:
     """The front's neighbours and state."""
 
     cfg: Settings
@@ -91,12 +91,12 @@
             ``RESIDENCY_UNKNOWN`` or ``HOP_LIMIT``.
         """
         identity = self.identity(req)
-        if identity.allowed is None:
+        if identity.allowed_regions is None:
             raise GatewayError(ErrorKind.RESIDENCY_UNKNOWN)
-        if self.cfg.vm.region not in identity.allowed:
+        if self.cfg.vm.region not in identity.allowed_regions:
             raise self.misdirected(req, identity)
         if self.draining:
-            raise self.elsewhere(ErrorKind.DRAINING, identity.allowed)
+            raise self.elsewhere(ErrorKind.DRAINING, identity.allowed_regions)
         return identity
 
     def misdirected(self, req: Request, identity: Identity) -> GatewayError:
@@ -105,9 +105,9 @@
         Two VMs with opposite views of a residency rule could send a caller to and fro for
         ever. A caller that was redirected once is therefore refused for good.
         """
-        if req.header(REDIRECTED):
+        if req.header(REDIRECTED_HEADER):
             return GatewayError(ErrorKind.HOP_LIMIT, "redirected to a VM that may not serve it")
-        return self.elsewhere(ErrorKind.RESIDENCY, identity.allowed)
+        return self.elsewhere(ErrorKind.RESIDENCY, identity.allowed_regions)
 
     def elsewhere(self, kind: ErrorKind, allowed: frozenset[str] | None = None) -> GatewayError:
         """Return a refusal that names other VMs."""
@@ -140,7 +140,7 @@
 
     def entries(self, identity: Identity, *, address: str) -> tuple[EntryVm, ...]:
         """Return the VMs that a caller should use, this one included unless it drains."""
-        if self.members is None or identity.allowed is None:
+        if self.members is None or identity.allowed_regions is None:
             return ()
         me = self.members.me.id
         vms = [
@@ -148,4 +148,4 @@
             for vm in self.members.vms()
             if vm.state is VmState.SERVING and not (self.draining and vm.id == me)
         ]
-        return self.order(vms, identity.allowed, spread=f"{identity.account.name} {address}")
+        return self.order(vms, identity.allowed_regions, spread=f"{identity.account.name} {address}")
--- a/src/hickorybeam/front/directory.py
+++ b/src/hickorybeam/front/directory.py
@@ -9,7 +9,7 @@
 from hickorybeam.errors import ErrorKind, GatewayError
 
 if TYPE_CHECKING:
-    from hickorybeam.front.gate import Gate
+    from hickorybeam.front.context import FrontContext
     from hickorybeam.front.request import Request
 
 __all__ = ("entries", "health", "idempotency_keys", "models")
@@ -23,12 +23,12 @@
     count: int = 1
 
 
-async def models(gate: Gate, req: Request) -> None:
+async def models(context: FrontContext, req: Request) -> None:
     """``GET /v1/models``: the models that the account may use."""
-    account = gate.identity(req).account
+    account = context.identity(req).account
     names = [
         name
-        for name in sorted(gate.config.current().models)
+        for name in sorted(context.config.current().models)
         if not account.models or name in account.models
     ]
     data = [
@@ -38,40 +38,40 @@
     await req.json(200, {"object": "list", "data": data})
 
 
-async def entries(gate: Gate, req: Request) -> None:
+async def entries(context: FrontContext, req: Request) -> None:
     """``GET /v1/entries``: the VMs to use, best first, and how long the list is good for."""
-    identity = gate.identity(req)
-    if identity.allowed is None:
+    identity = context.identity(req)
+    if identity.allowed_regions is None:
         raise GatewayError(ErrorKind.RESIDENCY_UNKNOWN)
-    found = gate.entries(identity, address=req.address)
+    found = context.entries(identity, address=req.address)
     listed = [
         {"address": vm.http_address, "region": vm.region, "data_centre": vm.data_centre}
         for vm in found
     ]
-    valid_ms = gate.cfg.front.entries_valid_ms
+    valid_ms = context.cfg.front.entries_valid_ms
     await req.json(200, {"entries": listed, "valid_ms": valid_ms})
 
 
-async def idempotency_keys(gate: Gate, req: Request) -> None:
+async def idempotency_keys(context: FrontContext, req: Request) -> None:
     """``POST /v1/idempotency-keys``: keys that this VM will run at most once."""
-    identity = gate.admit(req)
-    raw = await req.body(gate.memory, limit=SMALL_BODY)
+    identity = context.admit(req)
+    raw = await req.body(context.memory, limit=SMALL_BODY)
     try:
         wanted = msgspec.json.decode(raw or b"{}", type=_KeysWanted)
     except (msgspec.DecodeError, UnicodeDecodeError) as exc:
         raise GatewayError(ErrorKind.BAD_REQUEST, 'expected {"count": number}') from exc
     if not 1 <= wanted.count <= MOST_KEYS:
         raise GatewayError(ErrorKind.BAD_REQUEST, f"count must be from 1 to {MOST_KEYS}")
-    if gate.once is None:
-        raise gate.elsewhere(ErrorKind.NOT_READY, identity.allowed)
-    keys = gate.once.issue(identity.account.name, wanted.count)
+    if context.once is None:
+        raise context.elsewhere(ErrorKind.NOT_READY, identity.allowed_regions)
+    keys = context.once.issue(identity.account.name, wanted.count)
     await req.json(200, {"keys": keys})
 
 
-async def health(gate: Gate, req: Request) -> None:
+async def health(context: FrontContext, req: Request) -> None:
     """``GET /healthz``: whether this VM takes work; the only call that needs no key."""
-    if gate.draining:
-        raise gate.elsewhere(ErrorKind.DRAINING)
-    if not gate.config.current().position:
-        raise gate.elsewhere(ErrorKind.NOT_READY)
+    if context.draining:
+        raise context.elsewhere(ErrorKind.DRAINING)
+    if not context.config.current().position:
+        raise context.elsewhere(ErrorKind.NOT_READY)
     await req.json(200, {"status": "serving"})
--- a/src/hickorybeam/front/identity.py
+++ b/src/hickorybeam/front/identity.py
@@ -25,7 +25,7 @@
     account: ClientAccount
     digest: str
     operator: bool
-    allowed: frozenset[str] | None
+    allowed_regions: frozenset[str] | None
 
 
 def secret_of(authorization: str, api_key: str = "") -> str:
@@ -54,7 +54,7 @@
     digest = key_digest(secret)
     key = state.keys.get(digest)
     if key is None:
-        if state.is_withdrawn(digest):
+        if state.is_revoked(digest):
             raise GatewayError(ErrorKind.KEY_WITHDRAWN, ran=Ran.NO)
         raise GatewayError(ErrorKind.KEY_UNKNOWN)
     account = state.accounts.get(key.account)
@@ -64,7 +64,7 @@
         account=account,
         digest=digest,
         operator=key.operator,
-        allowed=state.allowed_regions(account),
+        allowed_regions=state.allowed_regions(account),
     )
 
 
--- a/src/hickorybeam/front/operators.py
+++ b/src/hickorybeam/front/operators.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from hickorybeam.front.gate import Gate
+    from hickorybeam.front.context import FrontContext
     from hickorybeam.front.request import Request
     from hickorybeam.model import ConfigState
 
@@ -27,10 +27,10 @@
 EXPOSITION = b"text/plain; version=0.0.4; charset=utf-8"
 
 
-async def submit(gate: Gate, req: Request) -> None:
+async def submit(context: FrontContext, req: Request) -> None:
     """``POST /v1/tickets``: accept a change ticket."""
-    gate.operator(req)
-    raw = await req.body(gate.memory, limit=MAX_TICKET_BYTES)
+    context.operator(req)
+    raw = await req.body(context.memory, limit=MAX_TICKET_BYTES)
     try:
         value = msgspec.json.decode(raw)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as exc:
@@ -38,62 +38,62 @@
     ticket, faults = decode(ChangeTicket, value)
     if ticket is None:
         raise GatewayError(ErrorKind.TICKET_INVALID, faults=tuple(map(str, faults)))
-    position = await gate.config.submit(ticket)
+    position = await context.config.submit(ticket)
     await req.json(200, {"number": ticket.number, "position": position})
 
 
-async def tickets(gate: Gate, req: Request) -> None:
+async def tickets(context: FrontContext, req: Request) -> None:
     """``GET /v1/tickets?from=POSITION&limit=N``: accepted tickets in order."""
-    gate.operator(req)
+    context.operator(req)
     query = dict(parse_qsl(req.query.decode("latin-1")))
     start = number(query, "from", 0)
     limit = min(MOST_TICKETS, number(query, "limit", DEFAULT_TICKETS))
-    if not isinstance(gate.config, TicketLog):
+    if not isinstance(context.config, TicketLog):
         raise GatewayError(ErrorKind.NOT_READY, "this VM keeps no log")
-    found = await gate.config.log(start, limit)
+    found = await context.config.log(start, limit)
     listed = [
         {"position": position, "number": ticket.number, "note": ticket.note, "ticket": ticket}
         for position, ticket in found
     ]
-    await req.json(200, {"position": gate.config.current().position, "tickets": listed})
+    await req.json(200, {"position": context.config.current().position, "tickets": listed})
 
 
-async def state(gate: Gate, req: Request) -> None:
+async def state(context: FrontContext, req: Request) -> None:
     """``GET /v1/state``: every object in force here, with the ticket that set it."""
-    gate.operator(req)
-    await req.json(200, state_json(gate.config.current()))
+    context.operator(req)
+    await req.json(200, state_json(context.config.current()))
 
 
-async def status(gate: Gate, req: Request) -> None:
+async def status(context: FrontContext, req: Request) -> None:
     """``GET /v1/status``: what this VM and each of its services tell of themselves."""
-    gate.operator(req)
+    context.operator(req)
     services: dict[str, object] = {}
-    for service in gate.kernel.services():
+    for service in context.kernel.services():
         tell: Callable[[], dict[str, object]] | None = getattr(service, "status", None)
         if tell is not None:
             services[service.name] = tell()
-    vm = gate.cfg.vm
+    vm = context.cfg.vm
     told = {
         "vm": {"name": vm.name, "region": vm.region, "data_centre": vm.data_centre},
-        "position": gate.config.current().position,
-        "age_ms": gate.config.age_ms(),
-        "restarts": gate.kernel.restarts,
+        "position": context.config.current().position,
+        "age_ms": context.config.age_ms(),
+        "restarts": context.kernel.restarts,
         "services": services,
     }
     await req.json(200, told)
 
 
-async def drain(gate: Gate, req: Request) -> None:
+async def drain(context: FrontContext, req: Request) -> None:
     """``POST /v1/drain``: shut this VM down without cutting anything off."""
-    gate.operator(req)
+    context.operator(req)
     await req.json(202, {"status": "draining"})
-    gate.kernel.stop()
+    context.kernel.stop()
 
 
-async def metrics(gate: Gate, req: Request) -> None:
+async def metrics(context: FrontContext, req: Request) -> None:
     """``GET /metrics``: counters; they name accounts, so they are for operators."""
-    gate.operator(req)
-    await req.whole(200, gate.counters.text(), (b"content-type", EXPOSITION))
+    context.operator(req)
+    await req.whole(200, context.counters.text(), (b"content-type", EXPOSITION))
 
 
 def state_json(config: ConfigState) -> dict[str, Any]:
--- a/src/hickorybeam/front/routes.py
+++ b/src/hickorybeam/front/routes.py
@@ -14,10 +14,10 @@
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable, Mapping
 
-    from hickorybeam.front.gate import Gate
+    from hickorybeam.front.context import FrontContext
     from hickorybeam.front.request import Request
 
-    Handler = Callable[[Gate, Request], Awaitable[None]]
+    Handler = Callable[[FrontContext, Request], Awaitable[None]]
 
 __all__ = ("answer", "find")
 
@@ -39,47 +39,47 @@
 CONFIGURED_ROUTES: Mapping[str, Handler] = dict.fromkeys(SERVICE_METHODS, work.routed)
 
 
-def find(gate: Gate, req: Request) -> Mapping[str, Handler] | None:
+def find(context: FrontContext, req: Request) -> Mapping[str, Handler] | None:
     """Return the handlers of a path by method: the gateway's own, then configured ones."""
     if req.path.startswith(work.SERVICES_PREFIX):
         return SERVICE_ROUTES
     found = ROUTES.get(req.path)
-    if found is None and gate.route_of(req) is not None:
+    if found is None and context.route_of(req) is not None:
         return CONFIGURED_ROUTES
     return found
 
 
-async def answer(gate: Gate, req: Request) -> None:
+async def answer(context: FrontContext, req: Request) -> None:
     """Answer one request; nothing that a caller sends gets past here as a traceback."""
-    req.closing = gate.draining
+    req.closing = context.draining
     try:
-        await handle(gate, req)
+        await handle(context, req)
         outcome = "answered"
     except CallerGoneError:
         outcome = "caller_gone"
     except GatewayError as exc:
         outcome = "refused" if not req.answered else "broken"
         if not req.counted:
-            gate.counters.refusals.labels(exc.kind.value).inc()
+            context.counters.refusals.labels(exc.kind.value).inc()
         if not req.answered:
             await req.refuse(exc)
     except Exception as exc:
         outcome = "fault"
         log_fault(req, exc)
-        gate.counters.refusals.labels(ErrorKind.INTERNAL.value).inc()
+        context.counters.refusals.labels(ErrorKind.INTERNAL.value).inc()
         if req.answered:
             req.conn.end()
         else:
             await req.refuse(GatewayError(ErrorKind.INTERNAL))
     finally:
-        gate.memory.release(req.held_bytes)
+        context.memory.release(req.held_bytes)
         req.held_bytes = 0
-    gate.counters.requests.labels(route_label(gate, req), outcome).inc()
+    context.counters.requests.labels(route_label(context, req), outcome).inc()
 
 
-async def handle(gate: Gate, req: Request) -> None:
+async def handle(context: FrontContext, req: Request) -> None:
     """Find the handler and run it."""
-    handlers = find(gate, req)
+    handlers = find(context, req)
     if handlers is None:
         raise GatewayError(ErrorKind.ROUTE_UNKNOWN)
     handler = handlers.get(req.method)
@@ -87,16 +87,16 @@
         allow = ", ".join(sorted(handlers))
         req.allow = allow
         raise GatewayError(ErrorKind.METHOD_NOT_ALLOWED)
-    await handler(gate, req)
+    await handler(context, req)
 
 
-def route_label(gate: Gate, req: Request) -> str:
+def route_label(context: FrontContext, req: Request) -> str:
     """Return the path's name in metrics; a closed list, whatever callers ask for."""
     if req.path.startswith(work.SERVICES_PREFIX):
         return "services"
     if req.path in ROUTES:
         return req.path.rsplit("/", 1)[-1]
-    return "routed" if gate.route_of(req) is not None else "unknown"
+    return "routed" if context.route_of(req) is not None else "unknown"
 
 
 def log_fault(req: Request, exc: Exception) -> None:
--- a/src/hickorybeam/front/service.py
+++ b/src/hickorybeam/front/service.py
@@ -10,7 +10,7 @@
 import anyio
 
 from hickorybeam.front import routes
-from hickorybeam.front.gate import Gate
+from hickorybeam.front.context import FrontContext
 from hickorybeam.front.memory import MemoryGate
 from hickorybeam.front.protocol import CallerProtocol, Guard
 from hickorybeam.front.request import Request
@@ -83,7 +83,7 @@
             members = kernel.find(MEMBERS, Members)  # type: ignore[type-abstract]
         if kernel.has(ONCE):
             once = kernel.find(ONCE, IdempotentCalls)  # type: ignore[type-abstract]
-        self._gate = Gate(
+        self._context = FrontContext(
             cfg=self._cfg,
             clock=self._clock,
             counters=self._counters,
@@ -109,16 +109,16 @@
                 keep_alive_ms=self._cfg.front.idle_ms,
             ) as listener:
                 self._port = listener.port
-                if self._gate.members is not None:
-                    self._gate.members.announce_serving(http_port=listener.port)
+                if self._context.members is not None:
+                    self._context.members.announce_serving(http_port=listener.port)
                 started()
                 await anyio.sleep_forever()
 
     async def drain(self) -> None:
         """Refuse new work and wait for what is in flight."""
-        if self._gate.members is not None:
-            self._gate.members.announce_leaving()
-        self._gate.draining = True
+        if self._context.members is not None:
+            self._context.members.announce_leaving()
+        self._context.draining = True
         await self._clock.sleep(DRAIN_LINGER_MS)
         # An answer that is written but not yet taken by its caller would be cut off too.
         while self._in_flight or self._guard.unflushed():
@@ -130,7 +130,7 @@
             "connections": len(self._guard.conns),
             "in_flight": self._in_flight,
             "memory_bytes": self._memory.used,
-            "draining": self._gate.draining,
+            "draining": self._context.draining,
         }
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
@@ -139,7 +139,7 @@
         req = Request(scope, receive, send, request_id=request_id)
         self._in_flight += 1
         try:
-            await routes.answer(self._gate, req)
+            await routes.answer(self._context, req)
         finally:
             self._in_flight -= 1
 
--- a/src/hickorybeam/front/work.py
+++ b/src/hickorybeam/front/work.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
 
-    from hickorybeam.front.gate import Gate
+    from hickorybeam.front.context import FrontContext
     from hickorybeam.front.identity import Identity
     from hickorybeam.front.request import Request
     from hickorybeam.model import ClientAccount, Header, ResponsePart, ServiceRoute
@@ -27,33 +27,33 @@
 CHARS_PER_TOKEN = 4
 
 
-async def chat(gate: Gate, req: Request) -> None:
+async def chat(context: FrontContext, req: Request) -> None:
     """``POST /v1/chat/completions``."""
-    await model_call(gate, req, CallKind.CHAT)
+    await model_call(context, req, CallKind.CHAT)
 
 
-async def completion(gate: Gate, req: Request) -> None:
+async def completion(context: FrontContext, req: Request) -> None:
     """``POST /v1/completions``."""
-    await model_call(gate, req, CallKind.COMPLETION)
+    await model_call(context, req, CallKind.COMPLETION)
 
 
-async def model_call(gate: Gate, req: Request, kind: CallKind) -> None:
+async def model_call(context: FrontContext, req: Request, kind: CallKind) -> None:
     """Run a chat or text completion."""
-    identity = gate.admit(req)
-    raw = await read_work(gate, req, identity)
+    identity = context.admit(req)
+    raw = await read_work(context, req, identity)
     try:
         body = read_body(kind, raw)
     except BodyError as exc:
         req.param = exc.param
         raise
-    check_model(gate, identity.account, body.model)
+    check_model(context, identity.account, body.model)
     call = Call(
         request_id=req.id,
         account=identity.account.name,
         key_digest=identity.digest,
         kind=kind,
         served=body.model,
-        headers=text_headers(gate, req),
+        headers=text_headers(context, req),
         body=body.raw,
         stream=body.stream,
         idempotency_key=idempotency_key(req),
@@ -62,30 +62,30 @@
         max_tokens=body.max_tokens,
         cost=body.cost,
         prefix=body.prefix,
-        deadline_ms=deadline_ms(gate, req),
-        position=gate.config.current().position,
+        deadline_ms=deadline_ms(context, req),
+        position=context.config.current().position,
     )
-    await run(gate, req, call, identity)
+    await run(context, req, call, identity)
 
 
-async def plain_service(gate: Gate, req: Request) -> None:
+async def plain_service(context: FrontContext, req: Request) -> None:
     """Any method of ``/v1/services/{service}/{path}``."""
-    identity = gate.admit(req)
+    identity = context.admit(req)
     name, path = split_target(req)
-    await service_call(gate, req, identity, name=name, path=path)
+    await service_call(context, req, identity, name=name, path=path)
 
 
-async def routed(gate: Gate, req: Request) -> None:
+async def routed(context: FrontContext, req: Request) -> None:
     """Any method of a path that a route of the configuration leads to a service."""
-    identity = gate.admit(req)
-    route = gate.route_of(req)
+    identity = context.admit(req)
+    route = context.route_of(req)
     if route is None:
         raise GatewayError(ErrorKind.ROUTE_UNKNOWN)
-    await service_call(gate, req, identity, name=route.service, path=target(req), route=route)
+    await service_call(context, req, identity, name=route.service, path=target(req), route=route)
 
 
 async def service_call(
-    gate: Gate,
+    context: FrontContext,
     req: Request,
     identity: Identity,
     *,
@@ -98,17 +98,17 @@
     :param path: the target that the service gets.
     :param route: what led to the service; its terms go before the service's own.
     """
-    state = gate.config.current()
+    state = context.config.current()
     service = state.services.get(name)
     allowed = identity.account.services
     if service is None or (allowed and name not in allowed):
         raise GatewayError(ErrorKind.SERVICE_UNKNOWN)
     idempotent = req.method not in service.non_idempotent
-    longest_ms = deadline_ms(gate, req)
+    longest_ms = deadline_ms(context, req)
     if route is not None:
         idempotent = idempotent if route.idempotent is None else route.idempotent
         longest_ms = min(longest_ms, route.timeout_ms or longest_ms)
-    body = await read_work(gate, req, identity)
+    body = await read_work(context, req, identity)
     call = Call(
         request_id=req.id,
         account=identity.account.name,
@@ -117,7 +117,7 @@
         served=name,
         method=req.method,
         path=path,
-        headers=text_headers(gate, req),
+        headers=text_headers(context, req),
         body=body,
         idempotent=idempotent,
         idempotency_key=idempotency_key(req),
@@ -126,46 +126,46 @@
         deadline_ms=longest_ms,
         position=state.position,
     )
-    await run(gate, req, call, identity)
+    await run(context, req, call, identity)
 
 
-async def read_work(gate: Gate, req: Request, identity: Identity) -> bytes:
+async def read_work(context: FrontContext, req: Request, identity: Identity) -> bytes:
     """Read the body of work, after every check that the headers allow."""
     try:
-        gate.memory.reserve(REQUEST_BYTES)
+        context.memory.reserve(REQUEST_BYTES)
         req.held_bytes += REQUEST_BYTES
-        body = await req.body(gate.memory, limit=gate.cfg.front.max_body_bytes)
+        body = await req.body(context.memory, limit=context.cfg.front.max_body_bytes)
     except GatewayError as exc:
-        raise gate.named(exc, identity.allowed) from exc
-    if gate.secret(req).encode("latin-1") in body or gate.secret(req).encode() in req.query:
+        raise context.named(exc, identity.allowed_regions) from exc
+    if context.secret(req).encode("latin-1") in body or context.secret(req).encode() in req.query:
         # A key in the body or query would reach the backend server with the rest of it.
         raise GatewayError(ErrorKind.BAD_REQUEST, "the key must be sent in a header only")
     return body
 
 
-async def run(gate: Gate, req: Request, call: Call, identity: Identity) -> None:
+async def run(context: FrontContext, req: Request, call: Call, identity: Identity) -> None:
     """Run a call and send its answer."""
-    parts = start(gate, call)
+    parts = start(context, call)
     try:
         await relay(req, parts)
     except GatewayError as exc:
         # Whoever ran the call has counted its refusal.
         req.counted = True
-        raise gate.named(exc, identity.allowed) from exc
+        raise context.named(exc, identity.allowed_regions) from exc
 
 
-def start(gate: Gate, call: Call) -> AsyncIterator[ResponsePart]:
+def start(context: FrontContext, call: Call) -> AsyncIterator[ResponsePart]:
     """Hand a call to the service that runs it."""
     if not call.idempotency_key:
-        return gate.dispatch.run(call)
-    if gate.once is None:
+        return context.dispatch.run(call)
+    if context.once is None:
         raise GatewayError(ErrorKind.IDEMPOTENCY_INVALID, "this VM takes no idempotency keys")
-    return gate.once.run(call)
+    return context.once.run(call)
 
 
-def check_model(gate: Gate, account: ClientAccount, model: str) -> None:
+def check_model(context: FrontContext, account: ClientAccount, model: str) -> None:
     """Refuse a model that does not exist or that the account may not use."""
-    if model not in gate.config.current().models or (
+    if model not in context.config.current().models or (
         account.models and model not in account.models
     ):
         raise GatewayError(ErrorKind.MODEL_UNKNOWN)
@@ -189,9 +189,9 @@
         raise GatewayError(ErrorKind.BAD_REQUEST, "the target is not ASCII") from exc
 
 
-def text_headers(gate: Gate, req: Request) -> tuple[Header, ...]:
+def text_headers(context: FrontContext, req: Request) -> tuple[Header, ...]:
     """Return the caller's headers without any that carry its key, whatever their name."""
-    secret = gate.secret(req).encode("latin-1")
+    secret = context.secret(req).encode("latin-1")
     return tuple(
         (name.decode("latin-1"), value.decode("latin-1"))
         for name, value in req.raw_headers
@@ -207,9 +207,9 @@
     return key
 
 
-def deadline_ms(gate: Gate, req: Request) -> int:
+def deadline_ms(context: FrontContext, req: Request) -> int:
     """Return how long the caller waits, bounded by the settings."""
-    longest = gate.cfg.front.default_deadline_ms
+    longest = context.cfg.front.default_deadline_ms
     wanted = req.header(DEADLINE)
     if not wanted:
         return longest
--- a/src/hickorybeam/model/state.py
+++ b/src/hickorybeam/model/state.py
@@ -111,7 +111,7 @@
         rule = self.residency_rules.get(account.residency)
         return None if rule is None else frozenset(rule.regions) & frozenset(self.regions)
 
-    def is_withdrawn(self, digest: str) -> bool:
+    def is_revoked(self, digest: str) -> bool:
         """Return whether a key existed and was deleted."""
         found = self.objects.get(ObjectRef(ObjectKind.KEY.value, digest))
         return found is not None and found.value is None
--- a/src/hickorybeam/peers/admission.py
+++ b/src/hickorybeam/peers/admission.py
@@ -31,7 +31,7 @@
 
 def check_call(call: Call, state: ConfigState, region: str) -> None:
     """Check key, account and residency against our own state for our own region."""
-    if state.is_withdrawn(call.key_digest):
+    if state.is_revoked(call.key_digest):
         raise GatewayError(ErrorKind.KEY_WITHDRAWN, ran=Ran.NO)
     account = state.accounts.get(call.account)
     if account is None:
--- a/tests/steps/front/callers_steps.py
+++ b/tests/steps/front/callers_steps.py
@@ -217,8 +217,8 @@
 @given("the front learned nothing for {age:d} seconds and may serve for {limit:d}")
 def step_stale(context, age, limit):
     context.rig.config.age_ms = lambda: age * 1000
-    gate = context.rig.front._gate
-    gate.cfg = replace(gate.cfg, config=replace(gate.cfg.config, stale_after_ms=limit * 1000))
+    front_context = context.rig.front._context
+    front_context.cfg = replace(front_context.cfg, config=replace(front_context.cfg.config, stale_after_ms=limit * 1000))
 
 
 @then('the front answers {status:d} with code "{code}" and ran "{ran}"')
--- a/tests/steps/front/rig.py
+++ b/tests/steps/front/rig.py
@@ -39,7 +39,7 @@
 
 SECRET = "sk-family"
 OPERATOR = "sk-operator"
-LIMITS = FrontSettings(
+FRONT_SETTINGS = FrontSettings(
     operator_keys=(key_digest(OPERATOR),),
     max_body_bytes=20_000,
     max_header_bytes=4_000,
@@ -142,7 +142,7 @@
 class Rig:
     """One VM of region ``here``, an engine and a plain service."""
 
-    def __init__(self, limits=LIMITS):
+    def __init__(self, limits=FRONT_SETTINGS):
         self.limits = limits
         self.clock = SystemClock()
         self.counters = Counters()
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -441,7 +441,7 @@
     Mutation(
         "a withdrawn key is refused where it runs",
         "peers/admission.py",
-        "    if state.is_withdrawn(call.key_digest):",
+        "    if state.is_revoked(call.key_digest):",
         "    if False:",
         "peers",
     ),
@@ -455,28 +455,28 @@
     # callers
     Mutation(
         "residency is decided on the headers",
-        "front/gate.py",
-        "        if self.cfg.vm.region not in identity.allowed:",
+        "front/context.py",
+        "        if self.cfg.vm.region not in identity.allowed_regions:",
         "        if False:",
         "front/outcomes.feature",
     ),
     Mutation(
         "a second misdirect is final",
-        "front/gate.py",
-        "        if req.header(REDIRECTED):",
+        "front/context.py",
+        "        if req.header(REDIRECTED_HEADER):",
         "        if False:",
         "front/outcomes.feature",
     ),
     Mutation(
         "a VM that learns nothing stops after its bound",
-        "front/gate.py",
+        "front/context.py",
         "        if stale_after and self.config.age_ms() > stale_after:",
         "        if False:",
         "front/outcomes.feature",
     ),
     Mutation(
         "a leaving VM takes no new work",
-        "front/gate.py",
+        "front/context.py",
         "        if self.draining:",
         "        if False:",
         "front",
