--- a/src/hickorybeam/front/bodies.py
+++ b/src/hickorybeam/front/bodies.py
@@ -12,18 +12,18 @@
 from hickorybeam.errors import ErrorKind, GatewayError
 from hickorybeam.model import CallKind
 
-__all__ = ("BodyError", "ModelBody", "read_body")
+__all__ = ("BodyError", "ModelBody", "parse_body")
 
 CHARS_PER_TOKEN = 4
 # Set where the caller names no limit: an engine without one could produce more than the
 # account was charged for on admission, and so take it past its rate.
 DEFAULT_MAX_TOKENS = 256
-MOST_TOKENS = 1_000_000
-MOST_CHOICES = 16
-MOST_PROMPTS = 64
+MAX_OUTPUT_TOKENS = 1_000_000
+MAX_CHOICES = 16
+MAX_PROMPTS = 64
 PREFIX_BYTES = 256
 PREFIX_DIGEST_BYTES = 8
-FIELD = re.compile(r"`\$\.(\w+)")
+FIELD_PATTERN = re.compile(r"`\$\.(\w+)")
 
 
 class BodyError(GatewayError):
@@ -34,7 +34,7 @@
         self.param = param
 
 
-class _Common(msgspec.Struct):
+class _CommonBody(msgspec.Struct):
     model: str
     stream: bool | None = False
     max_tokens: int | None = None
@@ -43,19 +43,19 @@
     best_of: int | None = 1
 
 
-class _Chat(_Common, kw_only=True):
+class _ChatBody(_CommonBody, kw_only=True):
     messages: msgspec.Raw
     stream_options: dict[str, Any] | None = None
 
 
-class _Completion(_Common, kw_only=True):
+class _CompletionBody(_CommonBody, kw_only=True):
     prompt: msgspec.Raw
     stream_options: dict[str, Any] | None = None
 
 
 _DECODERS: dict[CallKind, msgspec.json.Decoder[Any]] = {
-    CallKind.CHAT: msgspec.json.Decoder(_Chat),
-    CallKind.COMPLETION: msgspec.json.Decoder(_Completion),
+    CallKind.CHAT: msgspec.json.Decoder(_ChatBody),
+    CallKind.COMPLETION: msgspec.json.Decoder(_CompletionBody),
 }
 
 
@@ -76,7 +76,7 @@
         return self.prompt_tokens + self.max_tokens
 
 
-def read_body(kind: CallKind, raw: bytes) -> ModelBody:
+def parse_body(kind: CallKind, raw: bytes) -> ModelBody:
     """Read a body of a chat or text completion.
 
     :raises BodyError: it is not JSON, or a field is missing, of the wrong type or range.
@@ -84,20 +84,20 @@
     try:
         body = _DECODERS[kind].decode(raw)
     except msgspec.ValidationError as exc:
-        found = FIELD.search(str(exc))
+        found = FIELD_PATTERN.search(str(exc))
         raise BodyError(str(exc), param=found[1] if found else None) from exc
     except (msgspec.DecodeError, UnicodeDecodeError) as exc:
         raise BodyError("the body is not valid JSON") from exc
     except RecursionError as exc:
         raise BodyError("the body is nested too deeply") from exc
-    prompt = bytes(body.messages if isinstance(body, _Chat) else body.prompt)
-    prompts = check_prompt(kind, prompt)
-    choices = check_choices(body)
-    limit = check_limit(body)
-    if limit is None:
-        limit = DEFAULT_MAX_TOKENS
-        raw = with_limit(raw, limit)
-    if body.stream and choices * prompts > 1:
+    prompt = bytes(body.messages if isinstance(body, _ChatBody) else body.prompt)
+    prompt_count = count_prompts(kind, prompt)
+    choices = count_choices(body)
+    max_tokens = check_max_tokens(body)
+    if max_tokens is None:
+        max_tokens = DEFAULT_MAX_TOKENS
+        raw = set_max_tokens(raw, max_tokens)
+    if body.stream and choices * prompt_count > 1:
         # One stream with several answers has no single position to resume from.
         raise BodyError(
             "a stream gives one answer: n and the number of prompts must be 1", param="n"
@@ -107,12 +107,12 @@
         model=body.model,
         stream=bool(body.stream),
         prompt_tokens=max(1, len(prompt) // CHARS_PER_TOKEN),
-        max_tokens=limit * choices * prompts,
+        max_tokens=max_tokens * choices * prompt_count,
         prefix=prefix_digest(body.model, prompt),
     )
 
 
-def check_prompt(kind: CallKind, prompt: bytes) -> int:
+def count_prompts(kind: CallKind, prompt: bytes) -> int:
     """Return how many prompts there are, or raise when there is none."""
     if kind is CallKind.CHAT:
         if not prompt.startswith(b"[") or prompt[1:-1].strip() == b"":
@@ -122,40 +122,40 @@
         return 1
     if not prompt.startswith(b"["):
         raise BodyError("prompt must be a string or a list", param="prompt")
-    entries = msgspec.json.decode(prompt)
-    if not entries:
+    prompts = msgspec.json.decode(prompt)
+    if not prompts:
         raise BodyError("prompt must not be empty", param="prompt")
-    count = 1 if isinstance(entries[0], int) else len(entries)
-    if count > MOST_PROMPTS:
-        raise BodyError(f"at most {MOST_PROMPTS} prompts in one call", param="prompt")
+    count = 1 if isinstance(prompts[0], int) else len(prompts)
+    if count > MAX_PROMPTS:
+        raise BodyError(f"at most {MAX_PROMPTS} prompts in one call", param="prompt")
     return count
 
 
-def check_choices(body: _Common) -> int:
+def count_choices(body: _CommonBody) -> int:
     """Return how many answers the engine will produce for each prompt."""
     choices = max(body.n or 1, body.best_of or 1)
-    if min(body.n or 1, body.best_of or 1) < 1 or choices > MOST_CHOICES:
-        raise BodyError(f"n and best_of must be from 1 to {MOST_CHOICES}", param="n")
+    if min(body.n or 1, body.best_of or 1) < 1 or choices > MAX_CHOICES:
+        raise BodyError(f"n and best_of must be from 1 to {MAX_CHOICES}", param="n")
     return choices
 
 
-def check_limit(body: _Common) -> int | None:
+def check_max_tokens(body: _CommonBody) -> int | None:
     """Return the most tokens of one answer, ``None`` when the caller names no limit."""
     field = "max_tokens" if body.max_completion_tokens is None else "max_completion_tokens"
-    limit: int | None = getattr(body, field)
-    if limit is not None and not 1 <= limit <= MOST_TOKENS:
-        raise BodyError(f"{field} must be from 1 to {MOST_TOKENS}", param=field)
-    return limit
+    max_tokens: int | None = getattr(body, field)
+    if max_tokens is not None and not 1 <= max_tokens <= MAX_OUTPUT_TOKENS:
+        raise BodyError(f"{field} must be from 1 to {MAX_OUTPUT_TOKENS}", param=field)
+    return max_tokens
 
 
-def with_limit(raw: bytes, limit: int) -> bytes:
+def set_max_tokens(raw: bytes, max_tokens: int) -> bytes:
     """Return the body with ``max_tokens`` set."""
     fields: dict[str, msgspec.Raw] = msgspec.json.decode(raw, type=dict[str, msgspec.Raw])
-    fields["max_tokens"] = msgspec.Raw(b"%d" % limit)
+    fields["max_tokens"] = msgspec.Raw(b"%d" % max_tokens)
     return msgspec.json.encode(fields)
 
 
 def prefix_digest(model: str, prompt: bytes) -> str:
     """Return the digest of a prompt's start, by which engines with a warm cache are found."""
-    start = model.encode() + b"\n" + prompt[:PREFIX_BYTES]
-    return hashlib.blake2b(start, digest_size=PREFIX_DIGEST_BYTES).hexdigest()
+    prompt_start = model.encode() + b"\n" + prompt[:PREFIX_BYTES]
+    return hashlib.blake2b(prompt_start, digest_size=PREFIX_DIGEST_BYTES).hexdigest()
--- a/src/hickorybeam/front/work.py
+++ b/src/hickorybeam/front/calls.py
@@ -5,8 +5,8 @@
 from typing import TYPE_CHECKING
 
 from hickorybeam.errors import ErrorKind, GatewayError
-from hickorybeam.front.bodies import BodyError, read_body
-from hickorybeam.front.memory import REQUEST_BYTES
+from hickorybeam.front.bodies import BodyError, parse_body
+from hickorybeam.front.memory import REQUEST_OVERHEAD_BYTES
 from hickorybeam.front.relay import relay
 from hickorybeam.model import Call, CallKind
 
@@ -18,12 +18,12 @@
     from hickorybeam.front.request import Request
     from hickorybeam.model import ClientAccount, Header, ResponsePart, ServiceRoute
 
-__all__ = ("chat", "completion", "plain_service", "routed")
+__all__ = ("chat", "completion", "plain_service", "configured_route")
 
-IDEMPOTENCY_KEY = b"idempotency-key"
-DEADLINE = b"x-hickorybeam-deadline-ms"
+IDEMPOTENCY_KEY_HEADER = b"idempotency-key"
+DEADLINE_HEADER = b"x-hickorybeam-deadline-ms"
 SERVICES_PREFIX = "/v1/services/"
-MAX_IDEMPOTENCY_KEY = 255
+MAX_IDEMPOTENCY_KEY_CHARS = 255
 CHARS_PER_TOKEN = 4
 
 
@@ -40,9 +40,9 @@
 async def model_call(context: FrontContext, req: Request, kind: CallKind) -> None:
     """Run a chat or text completion."""
     identity = context.admit(req)
-    raw = await read_work(context, req, identity)
+    raw = await read_call_body(context, req, identity)
     try:
-        body = read_body(kind, raw)
+        body = parse_body(kind, raw)
     except BodyError as exc:
         req.param = exc.param
         raise
@@ -50,10 +50,10 @@
     call = Call(
         request_id=req.id,
         account=identity.account.name,
-        key_digest=identity.digest,
+        key_digest=identity.key_digest,
         kind=kind,
         served=body.model,
-        headers=text_headers(context, req),
+        headers=forwarded_headers(context, req),
         body=body.raw,
         stream=body.stream,
         idempotency_key=idempotency_key(req),
@@ -65,7 +65,7 @@
         deadline_ms=deadline_ms(context, req),
         position=context.config.current().position,
     )
-    await run(context, req, call, identity)
+    await run_call(context, req, call, identity)
 
 
 async def plain_service(context: FrontContext, req: Request) -> None:
@@ -75,13 +75,15 @@
     await service_call(context, req, identity, name=name, path=path)
 
 
-async def routed(context: FrontContext, req: Request) -> None:
+async def configured_route(context: FrontContext, req: Request) -> None:
     """Any method of a path that a route of the configuration leads to a service."""
     identity = context.admit(req)
-    route = context.route_of(req)
+    route = context.match_route(req)
     if route is None:
         raise GatewayError(ErrorKind.ROUTE_UNKNOWN)
-    await service_call(context, req, identity, name=route.service, path=target(req), route=route)
+    await service_call(
+        context, req, identity, name=route.service, path=raw_target(req), route=route
+    )
 
 
 async def service_call(
@@ -100,61 +102,64 @@
     """
     state = context.config.current()
     service = state.services.get(name)
-    allowed = identity.account.services
-    if service is None or (allowed and name not in allowed):
+    allowed_services = identity.account.services
+    if service is None or (allowed_services and name not in allowed_services):
         raise GatewayError(ErrorKind.SERVICE_UNKNOWN)
     idempotent = req.method not in service.non_idempotent
-    longest_ms = deadline_ms(context, req)
+    timeout_ms = deadline_ms(context, req)
     if route is not None:
         idempotent = idempotent if route.idempotent is None else route.idempotent
-        longest_ms = min(longest_ms, route.timeout_ms or longest_ms)
-    body = await read_work(context, req, identity)
+        timeout_ms = min(timeout_ms, route.timeout_ms or timeout_ms)
+    body = await read_call_body(context, req, identity)
     call = Call(
         request_id=req.id,
         account=identity.account.name,
-        key_digest=identity.digest,
+        key_digest=identity.key_digest,
         kind=CallKind.PLAIN,
         served=name,
         method=req.method,
         path=path,
-        headers=text_headers(context, req),
+        headers=forwarded_headers(context, req),
         body=body,
         idempotent=idempotent,
         idempotency_key=idempotency_key(req),
         priority=identity.account.priority,
         cost=service.cost,
-        deadline_ms=longest_ms,
+        deadline_ms=timeout_ms,
         position=state.position,
     )
-    await run(context, req, call, identity)
+    await run_call(context, req, call, identity)
 
 
-async def read_work(context: FrontContext, req: Request, identity: Identity) -> bytes:
+async def read_call_body(context: FrontContext, req: Request, identity: Identity) -> bytes:
     """Read the body of work, after every check that the headers allow."""
     try:
-        context.memory.reserve(REQUEST_BYTES)
-        req.held_bytes += REQUEST_BYTES
+        context.memory.reserve(REQUEST_OVERHEAD_BYTES)
+        req.reserved_bytes += REQUEST_OVERHEAD_BYTES
         body = await req.body(context.memory, limit=context.cfg.front.max_body_bytes)
     except GatewayError as exc:
-        raise context.named(exc, identity.allowed_regions) from exc
-    if context.secret(req).encode("latin-1") in body or context.secret(req).encode() in req.query:
+        raise context.add_entries(exc, identity.allowed_regions) from exc
+    if (
+        context.request_secret(req).encode("latin-1") in body
+        or context.request_secret(req).encode() in req.query
+    ):
         # A key in the body or query would reach the backend server with the rest of it.
         raise GatewayError(ErrorKind.BAD_REQUEST, "the key must be sent in a header only")
     return body
 
 
-async def run(context: FrontContext, req: Request, call: Call, identity: Identity) -> None:
+async def run_call(context: FrontContext, req: Request, call: Call, identity: Identity) -> None:
     """Run a call and send its answer."""
-    parts = start(context, call)
+    parts = start_call(context, call)
     try:
         await relay(req, parts)
     except GatewayError as exc:
         # Whoever ran the call has counted its refusal.
-        req.counted = True
-        raise context.named(exc, identity.allowed_regions) from exc
+        req.refusal_counted = True
+        raise context.add_entries(exc, identity.allowed_regions) from exc
 
 
-def start(context: FrontContext, call: Call) -> AsyncIterator[ResponsePart]:
+def start_call(context: FrontContext, call: Call) -> AsyncIterator[ResponsePart]:
     """Hand a call to the service that runs it."""
     if not call.idempotency_key:
         return context.dispatch.run(call)
@@ -173,14 +178,14 @@
 
 def split_target(req: Request) -> tuple[str, str]:
     """Return the service's name and the rest of the target with its query, as sent."""
-    rest = target(req).removeprefix(SERVICES_PREFIX)
+    rest = raw_target(req).removeprefix(SERVICES_PREFIX)
     name, _, path = rest.partition("/")
     if not name:
         raise GatewayError(ErrorKind.ROUTE_UNKNOWN)
     return name, f"/{path}"
 
 
-def target(req: Request) -> str:
+def raw_target(req: Request) -> str:
     """Return the whole target of a request, with its query, as sent."""
     sent = req.raw_path + (b"?" + req.query if req.query else b"")
     try:
@@ -189,9 +194,9 @@
         raise GatewayError(ErrorKind.BAD_REQUEST, "the target is not ASCII") from exc
 
 
-def text_headers(context: FrontContext, req: Request) -> tuple[Header, ...]:
+def forwarded_headers(context: FrontContext, req: Request) -> tuple[Header, ...]:
     """Return the caller's headers without any that carry its key, whatever their name."""
-    secret = context.secret(req).encode("latin-1")
+    secret = context.request_secret(req).encode("latin-1")
     return tuple(
         (name.decode("latin-1"), value.decode("latin-1"))
         for name, value in req.raw_headers
@@ -201,8 +206,8 @@
 
 def idempotency_key(req: Request) -> str:
     """Return the idempotency key that came with a request, if any."""
-    key = req.header(IDEMPOTENCY_KEY)
-    if len(key) > MAX_IDEMPOTENCY_KEY:
+    key = req.header(IDEMPOTENCY_KEY_HEADER)
+    if len(key) > MAX_IDEMPOTENCY_KEY_CHARS:
         raise GatewayError(ErrorKind.IDEMPOTENCY_INVALID, "the key is too long")
     return key
 
@@ -210,9 +215,9 @@
 def deadline_ms(context: FrontContext, req: Request) -> int:
     """Return how long the caller waits, bounded by the settings."""
     longest = context.cfg.front.default_deadline_ms
-    wanted = req.header(DEADLINE)
-    if not wanted:
+    requested = req.header(DEADLINE_HEADER)
+    if not requested:
         return longest
-    if not wanted.isdecimal() or not int(wanted):
+    if not requested.isdecimal() or not int(requested):
         raise GatewayError(ErrorKind.BAD_REQUEST, "the deadline must be a number of milliseconds")
-    return min(longest, int(wanted))
+    return min(longest, int(requested))
--- a/src/hickorybeam/front/context.py
+++ b/src/hickorybeam/front/context.py
@@ -6,14 +6,14 @@
 from typing import TYPE_CHECKING
 
 from hickorybeam.errors import ErrorKind, GatewayError, Retry, error_response
-from hickorybeam.front.identity import Identity, identify, is_operator, secret_of
+from hickorybeam.front.identity import Identity, extract_secret, identify, is_operator
 from hickorybeam.model import VmState
 from hickorybeam.policy.entry_order import entry_order
 from hickorybeam.policy.route_table import PrefixTable
 
 if TYPE_CHECKING:
     from hickorybeam.clock import Clock
-    from hickorybeam.front.memory import MemoryGate
+    from hickorybeam.front.memory import MemoryBudget
     from hickorybeam.front.request import Request
     from hickorybeam.kernel import Kernel
     from hickorybeam.model import EntryVm, ServiceRoute
@@ -26,7 +26,7 @@
 # A caller that follows the entries of a refusal says so with this header.
 REDIRECTED_HEADER = b"x-hickorybeam-redirected"
 # How many other VMs a refusal names; a caller needs one, and two more in case it fails.
-NAMED_ENTRIES = 3
+MAX_LISTED_ENTRIES = 3
 
 
 @dataclass(slots=True, kw_only=True)
@@ -41,14 +41,14 @@
     dispatch: Dispatch
     members: Members | None
     once: IdempotentCalls | None
-    memory: MemoryGate
+    memory: MemoryBudget
     draining: bool = False
     # The routes of the state at this position, made into a table once for each state.
     _routes: tuple[int, PrefixTable[ServiceRoute]] = field(
         default_factory=lambda: (0, PrefixTable(()))
     )
 
-    def route_of(self, req: Request) -> ServiceRoute | None:
+    def match_route(self, req: Request) -> ServiceRoute | None:
         """Return the configured route that leads from a request's host and path to a service."""
         state = self.config.current()
         if self._routes[0] != state.position:
@@ -56,32 +56,32 @@
         host = req.header(b"host").lower().partition(":")[0]
         return self._routes[1].match(host, req.path)
 
-    def secret(self, req: Request) -> str:
+    def request_secret(self, req: Request) -> str:
         """Return the key that came with a request."""
-        return secret_of(req.header(b"authorization"), req.header(b"x-api-key"))
+        return extract_secret(req.header(b"authorization"), req.header(b"x-api-key"))
 
-    def operator(self, req: Request) -> None:
+    def require_operator(self, req: Request) -> None:
         """Let operators pass.
 
         :raises GatewayError: ``KEY_MISSING`` or ``OPERATOR_ONLY``.
         """
-        secret = self.secret(req)
+        secret = self.request_secret(req)
         if not is_operator(self.config.current(), secret, self.cfg.front.operator_keys):
             raise GatewayError(ErrorKind.OPERATOR_ONLY)
 
-    def identity(self, req: Request) -> Identity:
+    def authenticate(self, req: Request) -> Identity:
         """Authenticate a caller by the configuration in force.
 
         :raises GatewayError: the key is no good, or this VM knows too little to tell.
         """
-        secret = self.secret(req)
+        secret = self.request_secret(req)
         state = self.config.current()
         if not state.position:
-            raise self.elsewhere(ErrorKind.NOT_READY)
+            raise self.redirect_error(ErrorKind.NOT_READY)
         stale_after = self.cfg.config.stale_after_ms
         if stale_after and self.config.age_ms() > stale_after:
             # A key withdrawn meanwhile would go on working here; the setting bounds how long.
-            raise self.elsewhere(ErrorKind.CONFIG_STALE)
+            raise self.redirect_error(ErrorKind.CONFIG_STALE)
         return identify(state, secret)
 
     def admit(self, req: Request) -> Identity:
@@ -90,16 +90,16 @@
         :raises GatewayError: as ``identity``, or ``DRAINING``, ``RESIDENCY``,
             ``RESIDENCY_UNKNOWN`` or ``HOP_LIMIT``.
         """
-        identity = self.identity(req)
+        identity = self.authenticate(req)
         if identity.allowed_regions is None:
             raise GatewayError(ErrorKind.RESIDENCY_UNKNOWN)
         if self.cfg.vm.region not in identity.allowed_regions:
-            raise self.misdirected(req, identity)
+            raise self.wrong_region_error(req, identity)
         if self.draining:
-            raise self.elsewhere(ErrorKind.DRAINING, identity.allowed_regions)
+            raise self.redirect_error(ErrorKind.DRAINING, identity.allowed_regions)
         return identity
 
-    def misdirected(self, req: Request, identity: Identity) -> GatewayError:
+    def wrong_region_error(self, req: Request, identity: Identity) -> GatewayError:
         """Return the refusal of a caller whose data this region must not see.
 
         Two VMs with opposite views of a residency rule could send a caller to and fro for
@@ -107,45 +107,55 @@
         """
         if req.header(REDIRECTED_HEADER):
             return GatewayError(ErrorKind.HOP_LIMIT, "redirected to a VM that may not serve it")
-        return self.elsewhere(ErrorKind.RESIDENCY, identity.allowed_regions)
+        return self.redirect_error(ErrorKind.RESIDENCY, identity.allowed_regions)
 
-    def elsewhere(self, kind: ErrorKind, allowed: frozenset[str] | None = None) -> GatewayError:
+    def redirect_error(
+        self, kind: ErrorKind, allowed_regions: frozenset[str] | None = None
+    ) -> GatewayError:
         """Return a refusal that names other VMs."""
-        return GatewayError(kind, entries=self.others(allowed))
+        return GatewayError(kind, entries=self.other_addresses(allowed_regions))
 
-    def named(self, exc: GatewayError, allowed: frozenset[str] | None) -> GatewayError:
+    def add_entries(
+        self, exc: GatewayError, allowed_regions: frozenset[str] | None
+    ) -> GatewayError:
         """Add other VMs to a refusal that sends the caller elsewhere and names none."""
         if error_response(exc.kind).retry is Retry.ELSEWHERE and not exc.entries:
-            exc.entries = self.others(allowed)
+            exc.entries = self.other_addresses(allowed_regions)
         return exc
 
-    def others(self, allowed: frozenset[str] | None) -> tuple[str, ...]:
+    def other_addresses(self, allowed_regions: frozenset[str] | None) -> tuple[str, ...]:
         """Return addresses of other serving VMs, in any region if ``allowed`` is unknown."""
         if self.members is None:
             return ()
-        me = self.members.me
-        vms = [vm for vm in self.members.vms() if vm.id != me.id]
-        regions = frozenset(vm.region for vm in vms) if allowed is None else allowed
-        found = self.order(vms, regions, spread=me.id.name)
-        return tuple(vm.http_address for vm in found[:NAMED_ENTRIES])
-
-    def order(
-        self, vms: list[EntryVm], allowed: frozenset[str], *, spread: str
+        own_vm = self.members.me
+        vms = [vm for vm in self.members.vms() if vm.id != own_vm.id]
+        regions = frozenset(vm.region for vm in vms) if allowed_regions is None else allowed_regions
+        ranked_vms = self.order_entries(vms, regions, caller_key=own_vm.id.name)
+        return tuple(vm.http_address for vm in ranked_vms[:MAX_LISTED_ENTRIES])
+
+    def order_entries(
+        self, vms: list[EntryVm], allowed_regions: frozenset[str], *, caller_key: str
     ) -> tuple[EntryVm, ...]:
         """Return serving VMs of these regions, best first."""
         vm = self.cfg.vm
         return entry_order(
-            vms, region=vm.region, data_centre=vm.data_centre, allowed=allowed, caller_key=spread
+            vms,
+            region=vm.region,
+            data_centre=vm.data_centre,
+            allowed=allowed_regions,
+            caller_key=caller_key,
         )
 
-    def entries(self, identity: Identity, *, address: str) -> tuple[EntryVm, ...]:
+    def entries_for(self, identity: Identity, *, client_address: str) -> tuple[EntryVm, ...]:
         """Return the VMs that a caller should use, this one included unless it drains."""
         if self.members is None or identity.allowed_regions is None:
             return ()
-        me = self.members.me.id
+        own_id = self.members.me.id
         vms = [
             vm
             for vm in self.members.vms()
-            if vm.state is VmState.SERVING and not (self.draining and vm.id == me)
+            if vm.state is VmState.SERVING and not (self.draining and vm.id == own_id)
         ]
-        return self.order(vms, identity.allowed_regions, spread=f"{identity.account.name} {address}")
+        return self.order_entries(
+            vms, identity.allowed_regions, caller_key=f"{identity.account.name} {client_address}"
+        )
--- a/src/hickorybeam/front/directory.py
+++ b/src/hickorybeam/front/directory.py
@@ -14,64 +14,64 @@
 
 __all__ = ("entries", "health", "idempotency_keys", "models")
 
-MOST_KEYS = 1_000
-SMALL_BODY = 10_000
-FOUNDED_S = 1_700_000_000
+MAX_KEYS = 1_000
+MAX_BODY_BYTES = 10_000
+MODEL_CREATED_S = 1_700_000_000
 
 
-class _KeysWanted(msgspec.Struct):
+class _KeysRequest(msgspec.Struct):
     count: int = 1
 
 
 async def models(context: FrontContext, req: Request) -> None:
     """``GET /v1/models``: the models that the account may use."""
-    account = context.identity(req).account
+    account = context.authenticate(req).account
     names = [
         name
         for name in sorted(context.config.current().models)
         if not account.models or name in account.models
     ]
     data = [
-        {"id": name, "object": "model", "created": FOUNDED_S, "owned_by": "hickorybeam"}
+        {"id": name, "object": "model", "created": MODEL_CREATED_S, "owned_by": "hickorybeam"}
         for name in names
     ]
-    await req.json(200, {"object": "list", "data": data})
+    await req.respond_json(200, {"object": "list", "data": data})
 
 
 async def entries(context: FrontContext, req: Request) -> None:
     """``GET /v1/entries``: the VMs to use, best first, and how long the list is good for."""
-    identity = context.identity(req)
+    identity = context.authenticate(req)
     if identity.allowed_regions is None:
         raise GatewayError(ErrorKind.RESIDENCY_UNKNOWN)
-    found = context.entries(identity, address=req.address)
+    found = context.entries_for(identity, client_address=req.client_address)
     listed = [
         {"address": vm.http_address, "region": vm.region, "data_centre": vm.data_centre}
         for vm in found
     ]
     valid_ms = context.cfg.front.entries_valid_ms
-    await req.json(200, {"entries": listed, "valid_ms": valid_ms})
+    await req.respond_json(200, {"entries": listed, "valid_ms": valid_ms})
 
 
 async def idempotency_keys(context: FrontContext, req: Request) -> None:
     """``POST /v1/idempotency-keys``: keys that this VM will run at most once."""
     identity = context.admit(req)
-    raw = await req.body(context.memory, limit=SMALL_BODY)
+    raw = await req.body(context.memory, limit=MAX_BODY_BYTES)
     try:
-        wanted = msgspec.json.decode(raw or b"{}", type=_KeysWanted)
+        keys_request = msgspec.json.decode(raw or b"{}", type=_KeysRequest)
     except (msgspec.DecodeError, UnicodeDecodeError) as exc:
         raise GatewayError(ErrorKind.BAD_REQUEST, 'expected {"count": number}') from exc
-    if not 1 <= wanted.count <= MOST_KEYS:
-        raise GatewayError(ErrorKind.BAD_REQUEST, f"count must be from 1 to {MOST_KEYS}")
+    if not 1 <= keys_request.count <= MAX_KEYS:
+        raise GatewayError(ErrorKind.BAD_REQUEST, f"count must be from 1 to {MAX_KEYS}")
     if context.once is None:
-        raise context.elsewhere(ErrorKind.NOT_READY, identity.allowed_regions)
-    keys = context.once.issue(identity.account.name, wanted.count)
-    await req.json(200, {"keys": keys})
+        raise context.redirect_error(ErrorKind.NOT_READY, identity.allowed_regions)
+    keys = context.once.issue(identity.account.name, keys_request.count)
+    await req.respond_json(200, {"keys": keys})
 
 
 async def health(context: FrontContext, req: Request) -> None:
     """``GET /healthz``: whether this VM takes work; the only call that needs no key."""
     if context.draining:
-        raise context.elsewhere(ErrorKind.DRAINING)
+        raise context.redirect_error(ErrorKind.DRAINING)
     if not context.config.current().position:
-        raise context.elsewhere(ErrorKind.NOT_READY)
-    await req.json(200, {"status": "serving"})
+        raise context.redirect_error(ErrorKind.NOT_READY)
+    await req.respond_json(200, {"status": "serving"})
--- a/src/hickorybeam/front/identity.py
+++ b/src/hickorybeam/front/identity.py
@@ -13,9 +13,9 @@
 
     from hickorybeam.model import ClientAccount, ConfigState
 
-__all__ = ("Identity", "identify", "is_operator", "secret_of")
+__all__ = ("Identity", "identify", "is_operator", "extract_secret")
 
-BEARER = "bearer "
+BEARER_PREFIX = "bearer "
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -23,18 +23,18 @@
     """An authenticated caller; ``allowed`` are the regions that may see its data."""
 
     account: ClientAccount
-    digest: str
+    key_digest: str
     operator: bool
     allowed_regions: frozenset[str] | None
 
 
-def secret_of(authorization: str, api_key: str = "") -> str:
+def extract_secret(authorization: str, api_key: str = "") -> str:
     """Return the key that came with a request.
 
     :raises GatewayError: ``KEY_MISSING``.
     """
-    if authorization[: len(BEARER)].lower() == BEARER:
-        secret = authorization[len(BEARER) :].strip()
+    if authorization[: len(BEARER_PREFIX)].lower() == BEARER_PREFIX:
+        secret = authorization[len(BEARER_PREFIX) :].strip()
     else:
         secret = api_key.strip()
     if not secret:
@@ -62,19 +62,19 @@
         raise GatewayError(ErrorKind.KEY_WITHDRAWN, "its account is deleted", ran=Ran.NO)
     return Identity(
         account=account,
-        digest=digest,
+        key_digest=digest,
         operator=key.operator,
         allowed_regions=state.allowed_regions(account),
     )
 
 
-def is_operator(state: ConfigState, secret: str, always: Iterable[str]) -> bool:
+def is_operator(state: ConfigState, secret: str, configured_digests: Iterable[str]) -> bool:
     """Whether a key may call the operator API.
 
     :param always: digests from the settings, which work before the first ticket.
     """
     digest = key_digest(secret)
-    if digest in always:
+    if digest in configured_digests:
         return True
     key = state.keys.get(digest)
     return key is not None and key.operator
--- a/src/hickorybeam/front/memory.py
+++ b/src/hickorybeam/front/memory.py
@@ -4,14 +4,14 @@
 
 from hickorybeam.errors import ErrorKind, GatewayError
 
-__all__ = ("REQUEST_BYTES", "MemoryGate")
+__all__ = ("REQUEST_OVERHEAD_BYTES", "MemoryBudget")
 
 # What one open stream takes beside its body: both connections' buffers, parsers and tasks.
 # Source: bench/relay.py, 2,000 open streams (docs/design/relay.md), rounded up.
-REQUEST_BYTES = 65_536
+REQUEST_OVERHEAD_BYTES = 65_536
 
 
-class MemoryGate:
+class MemoryBudget:
     """Counts reserved bytes; without it a burst of large bodies would end the process.
 
     :param limit: bytes that requests may hold at once.
--- a/src/hickorybeam/front/operators.py
+++ b/src/hickorybeam/front/operators.py
@@ -22,14 +22,14 @@
 __all__ = ("drain", "metrics", "state", "status", "submit", "tickets")
 
 MAX_TICKET_BYTES = 4_000_000
-MOST_TICKETS = 1_000
-DEFAULT_TICKETS = 100
-EXPOSITION = b"text/plain; version=0.0.4; charset=utf-8"
+MAX_TICKETS = 1_000
+DEFAULT_TICKET_LIMIT = 100
+METRICS_CONTENT_TYPE = b"text/plain; version=0.0.4; charset=utf-8"
 
 
 async def submit(context: FrontContext, req: Request) -> None:
     """``POST /v1/tickets``: accept a change ticket."""
-    context.operator(req)
+    context.require_operator(req)
     raw = await req.body(context.memory, limit=MAX_TICKET_BYTES)
     try:
         value = msgspec.json.decode(raw)
@@ -39,15 +39,15 @@
     if ticket is None:
         raise GatewayError(ErrorKind.TICKET_INVALID, faults=tuple(map(str, faults)))
     position = await context.config.submit(ticket)
-    await req.json(200, {"number": ticket.number, "position": position})
+    await req.respond_json(200, {"number": ticket.number, "position": position})
 
 
 async def tickets(context: FrontContext, req: Request) -> None:
     """``GET /v1/tickets?from=POSITION&limit=N``: accepted tickets in order."""
-    context.operator(req)
+    context.require_operator(req)
     query = dict(parse_qsl(req.query.decode("latin-1")))
-    start = number(query, "from", 0)
-    limit = min(MOST_TICKETS, number(query, "limit", DEFAULT_TICKETS))
+    start = int_parameter(query, "from", 0)
+    limit = min(MAX_TICKETS, int_parameter(query, "limit", DEFAULT_TICKET_LIMIT))
     if not isinstance(context.config, TicketLog):
         raise GatewayError(ErrorKind.NOT_READY, "this VM keeps no log")
     found = await context.config.log(start, limit)
@@ -55,45 +55,45 @@
         {"position": position, "number": ticket.number, "note": ticket.note, "ticket": ticket}
         for position, ticket in found
     ]
-    await req.json(200, {"position": context.config.current().position, "tickets": listed})
+    await req.respond_json(200, {"position": context.config.current().position, "tickets": listed})
 
 
 async def state(context: FrontContext, req: Request) -> None:
     """``GET /v1/state``: every object in force here, with the ticket that set it."""
-    context.operator(req)
-    await req.json(200, state_json(context.config.current()))
+    context.require_operator(req)
+    await req.respond_json(200, state_json(context.config.current()))
 
 
 async def status(context: FrontContext, req: Request) -> None:
     """``GET /v1/status``: what this VM and each of its services tell of themselves."""
-    context.operator(req)
+    context.require_operator(req)
     services: dict[str, object] = {}
     for service in context.kernel.services():
-        tell: Callable[[], dict[str, object]] | None = getattr(service, "status", None)
-        if tell is not None:
-            services[service.name] = tell()
+        report_status: Callable[[], dict[str, object]] | None = getattr(service, "status", None)
+        if report_status is not None:
+            services[service.name] = report_status()
     vm = context.cfg.vm
-    told = {
+    response = {
         "vm": {"name": vm.name, "region": vm.region, "data_centre": vm.data_centre},
         "position": context.config.current().position,
         "age_ms": context.config.age_ms(),
         "restarts": context.kernel.restarts,
         "services": services,
     }
-    await req.json(200, told)
+    await req.respond_json(200, response)
 
 
 async def drain(context: FrontContext, req: Request) -> None:
     """``POST /v1/drain``: shut this VM down without cutting anything off."""
-    context.operator(req)
-    await req.json(202, {"status": "draining"})
+    context.require_operator(req)
+    await req.respond_json(202, {"status": "draining"})
     context.kernel.stop()
 
 
 async def metrics(context: FrontContext, req: Request) -> None:
     """``GET /metrics``: counters; they name accounts, so they are for operators."""
-    context.operator(req)
-    await req.whole(200, context.counters.text(), (b"content-type", EXPOSITION))
+    context.require_operator(req)
+    await req.respond(200, context.counters.text(), (b"content-type", METRICS_CONTENT_TYPE))
 
 
 def state_json(config: ConfigState) -> dict[str, Any]:
@@ -106,7 +106,7 @@
     return head | {"objects": objects}
 
 
-def number(query: dict[str, str], name: str, default: int) -> int:
+def int_parameter(query: dict[str, str], name: str, default: int) -> int:
     """Return a number of the query string."""
     value = query.get(name, str(default))
     if not value.isdecimal():
--- a/src/hickorybeam/front/protocol.py
+++ b/src/hickorybeam/front/protocol.py
@@ -21,36 +21,36 @@
     from hickorybeam.settings import FrontSettings
     from hickorybeam.watchdog import Watchdog
 
-__all__ = ("CallerProtocol", "Guard")
+__all__ = ("CallerProtocol", "ConnectionLimits")
 
 MS_PER_SECOND = 1000
 # What a header line takes beside its name and value: ": " and the line's end.
-HEADER_LINE_BYTES = 4
-KEEP_ALIVE_PROBES = 3
+HEADER_LINE_OVERHEAD_BYTES = 4
+KEEPALIVE_PROBES = 3
 # What an idle connection may take: its transport, parser and two deadlines, rounded up.
-CONNECTION_BYTES = 16_384
+IDLE_CONNECTION_BYTES = 16_384
 # Each caller's connection may need one to a backend server and one to a peer; without room
 # for those, accepting more callers would only make running requests fail.
-CALLERS_SHARE_OF_FILES = 0.3
+CALLERS_FILE_SHARE = 0.3
 
 
-class Guard:
+class ConnectionLimits:
     """What all callers' connections share: limits, counts and the watchdog."""
 
     def __init__(
-        self, cfg: FrontSettings, watchdog: Watchdog, refused: Callable[[ErrorKind], None]
+        self, cfg: FrontSettings, watchdog: Watchdog, count_refusal: Callable[[ErrorKind], None]
     ) -> None:
         self.cfg = cfg
         self.watchdog = watchdog
-        self.refused = refused
-        self.by_address: Counter[str] = Counter()
+        self.count_refusal = count_refusal
+        self.conns_by_address: Counter[str] = Counter()
         self.conns: set[CallerProtocol] = set()
-        files, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-        self.most_conns = min(
-            cfg.memory_bytes // CONNECTION_BYTES, int(files * CALLERS_SHARE_OF_FILES)
+        max_files, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
+        self.max_conns = min(
+            cfg.memory_bytes // IDLE_CONNECTION_BYTES, int(max_files * CALLERS_FILE_SHARE)
         )
 
-    def unflushed(self) -> bool:
+    def has_unsent_data(self) -> bool:
         """Whether any caller has not taken all that was written to it."""
         return any(conn.transport.get_write_buffer_size() for conn in self.conns)
 
@@ -63,47 +63,47 @@
     (``body_timeout_ms``), and an answer that is not read (``stall_ms``).
     """
 
-    def __init__(self, *args: Any, guard: Guard, **kwargs: Any) -> None:
+    def __init__(self, *args: Any, limits: ConnectionLimits, **kwargs: Any) -> None:
         super().__init__(*args, **kwargs)
-        self._guard = guard
+        self._limits = limits
         self._address = ""
         self._counted = False
         self._head_bytes = 0
         self._in_head = False
-        self._refusal: ErrorKind | None = None
-        self._lost: set[Callable[[], None]] = set()
-        self._late: Callable[[], None] | None = None
-        self._arrival = guard.watchdog.add(guard.cfg.idle_ms, self._on_late)
-        self._stall = guard.watchdog.add(guard.cfg.stall_ms, self.abort)
-        guard.watchdog.pause(self._stall)
+        self._refusal_kind: ErrorKind | None = None
+        self._lost_callbacks: set[Callable[[], None]] = set()
+        self._late_body_callback: Callable[[], None] | None = None
+        self._receive_deadline = limits.watchdog.add(limits.cfg.idle_ms, self._on_receive_timeout)
+        self._send_deadline = limits.watchdog.add(limits.cfg.stall_ms, self.abort)
+        limits.watchdog.pause(self._send_deadline)
 
     def connection_made(self, transport: asyncio.Transport) -> None:  # type: ignore[override]
         """Count the connection, or refuse it when its address has too many."""
         super().connection_made(transport)
-        guard = self._guard
+        limits = self._limits
         self._address = self.client[0] if self.client else ""
         self._counted = True
-        guard.conns.add(self)
-        guard.by_address[self._address] += 1
-        watch_for_silence(transport, guard.cfg)
-        if len(guard.conns) > guard.most_conns:
+        limits.conns.add(self)
+        limits.conns_by_address[self._address] += 1
+        enable_keepalive(transport, limits.cfg)
+        if len(limits.conns) > limits.max_conns:
             self.refuse(ErrorKind.VM_FULL)
-        elif guard.by_address[self._address] > guard.cfg.max_connections_per_address:
+        elif limits.conns_by_address[self._address] > limits.cfg.max_connections_per_address:
             self.refuse(ErrorKind.TOO_MANY_CONNECTIONS)
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Tell the requests that run on it that nobody reads their answers any more."""
         super().connection_lost(exc)
-        guard = self._guard
-        guard.watchdog.remove(self._arrival)
-        guard.watchdog.remove(self._stall)
+        limits = self._limits
+        limits.watchdog.remove(self._receive_deadline)
+        limits.watchdog.remove(self._send_deadline)
         if self._counted:
             self._counted = False
-            guard.conns.discard(self)
-            guard.by_address[self._address] -= 1
-            if not guard.by_address[self._address]:
-                del guard.by_address[self._address]
-        for callback in tuple(self._lost):
+            limits.conns.discard(self)
+            limits.conns_by_address[self._address] -= 1
+            if not limits.conns_by_address[self._address]:
+                del limits.conns_by_address[self._address]
+        for callback in tuple(self._lost_callbacks):
             callback()
 
     def data_received(self, data: bytes) -> None:
@@ -116,16 +116,16 @@
         super().on_message_begin()
         self._head_bytes = 0
         self._in_head = True
-        self._guard.watchdog.extend(self._arrival, self._guard.cfg.body_timeout_ms)
+        self._limits.watchdog.extend(self._receive_deadline, self._limits.cfg.body_timeout_ms)
 
     def on_url(self, url: bytes) -> None:
         """Take a part of the target."""
-        self._count_head(len(url))
+        self._count_head_bytes(len(url))
         super().on_url(url)
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Take one header."""
-        self._count_head(len(name) + len(value) + HEADER_LINE_BYTES)
+        self._count_head_bytes(len(name) + len(value) + HEADER_LINE_OVERHEAD_BYTES)
         super().on_header(name, value)
 
     def on_headers_complete(self) -> None:
@@ -136,25 +136,25 @@
     def on_message_complete(self) -> None:
         """End the limits of the request: from here on the caller waits for us."""
         super().on_message_complete()
-        self._guard.watchdog.pause(self._arrival)
+        self._limits.watchdog.pause(self._receive_deadline)
 
     def pause_writing(self) -> None:
         """Start the limit of an answer that is not read."""
         super().pause_writing()
-        self._guard.watchdog.extend(self._stall, self._guard.cfg.stall_ms)
+        self._limits.watchdog.extend(self._send_deadline, self._limits.cfg.stall_ms)
 
     def resume_writing(self) -> None:
         """End the limit of an answer that is not read."""
         super().resume_writing()
-        self._guard.watchdog.pause(self._stall)
+        self._limits.watchdog.pause(self._send_deadline)
 
     def send_400_response(self, msg: str) -> None:
         """Refuse what the parser does not take."""
-        self.refuse(self._refusal or ErrorKind.BAD_REQUEST, "not valid HTTP")
+        self.refuse(self._refusal_kind or ErrorKind.BAD_REQUEST, "not valid HTTP")
 
     def refuse(self, kind: ErrorKind, detail: str = "") -> None:
         """Answer for a connection that has no request to answer, and close it."""
-        self._guard.refused(kind)
+        self._limits.count_refusal(kind)
         busy = self.cycle is not None and not self.cycle.response_complete
         if busy:
             # Another answer is being written; a second one would stand in its middle.
@@ -163,41 +163,41 @@
         self.transport.write(raw_refusal(GatewayError(kind, detail)))
         self.transport.close()
 
-    def end(self) -> None:
+    def close_early(self) -> None:
         """Close after what was written, without the answer's proper end."""
         self.transport.close()
 
-    def on_lost(self, callback: Callable[[], None]) -> None:
+    def add_lost_callback(self, callback: Callable[[], None]) -> None:
         """Call back when the connection is lost; at once if it is already."""
         if self.transport.is_closing():
             callback()
         else:
-            self._lost.add(callback)
+            self._lost_callbacks.add(callback)
 
-    def forget_lost(self, callback: Callable[[], None]) -> None:
+    def remove_lost_callback(self, callback: Callable[[], None]) -> None:
         """Take back ``on_lost``."""
-        self._lost.discard(callback)
+        self._lost_callbacks.discard(callback)
 
-    def on_late_body(self, callback: Callable[[], None] | None) -> None:
+    def set_late_body_callback(self, callback: Callable[[], None] | None) -> None:
         """Call back when the body takes too long; ``None`` takes it back."""
-        self._late = callback
+        self._late_body_callback = callback
 
-    def _on_late(self) -> None:
-        if self._late is not None:
-            self._late()
+    def _on_receive_timeout(self) -> None:
+        if self._late_body_callback is not None:
+            self._late_body_callback()
         elif self._in_head:
             self.refuse(ErrorKind.CALLER_TIMEOUT)
         else:
             self.transport.close()
 
-    def _count_head(self, size: int) -> None:
+    def _count_head_bytes(self, size: int) -> None:
         self._head_bytes += size
-        if self._head_bytes > self._guard.cfg.max_header_bytes:
-            self._refusal = ErrorKind.HEADERS_TOO_LARGE
+        if self._head_bytes > self._limits.cfg.max_header_bytes:
+            self._refusal_kind = ErrorKind.HEADERS_TOO_LARGE
             raise httptools.HttpParserError("headers too large")
 
 
-def watch_for_silence(transport: asyncio.Transport, cfg: FrontSettings) -> None:
+def enable_keepalive(transport: asyncio.Transport, cfg: FrontSettings) -> None:
     """Let the kernel find a caller that is gone without a word.
 
     A caller whose connection was forgotten on the way neither closes it nor takes data. The
@@ -209,8 +209,8 @@
     seconds = max(1, cfg.stall_ms // MS_PER_SECOND)
     options = {
         "TCP_KEEPIDLE": seconds,
-        "TCP_KEEPINTVL": max(1, seconds // KEEP_ALIVE_PROBES),
-        "TCP_KEEPCNT": KEEP_ALIVE_PROBES,
+        "TCP_KEEPINTVL": max(1, seconds // KEEPALIVE_PROBES),
+        "TCP_KEEPCNT": KEEPALIVE_PROBES,
         "TCP_USER_TIMEOUT": cfg.stall_ms,
     }
     with contextlib.suppress(OSError):
--- a/src/hickorybeam/front/refusals.py
+++ b/src/hickorybeam/front/refusals.py
@@ -12,8 +12,8 @@
 
 MS_PER_SECOND = 1000
 DEFAULT_RETRY_AFTER_MS = 1_000
-FIRST_SERVER_ERROR = 500
-TYPES = {
+MIN_SERVER_ERROR_STATUS = 500
+ERROR_TYPES = {
     400: "invalid_request_error",
     401: "authentication_error",
     403: "permission_error",
@@ -43,15 +43,15 @@
 
     :param param: the field of the request that is at fault, as the published API has it.
     """
-    answer = error_response(exc.kind)
-    message = f"{answer.text}: {exc.detail}" if exc.detail else answer.text
+    response = error_response(exc.kind)
+    message = f"{response.text}: {exc.detail}" if exc.detail else response.text
     error = _Error(
         message=message,
-        type=error_type(answer.status),
+        type=error_type(response.status),
         param=param,
         code=exc.kind.value,
         ran=exc.ran.value,
-        retry=answer.retry.value,
+        retry=response.retry.value,
         retry_after_ms=retry_after_ms(exc),
         entries=exc.entries,
         faults=exc.faults,
@@ -61,9 +61,9 @@
 
 def error_type(status: int) -> str:
     """Return the published API's name for an error of this status."""
-    if status >= FIRST_SERVER_ERROR:
+    if status >= MIN_SERVER_ERROR_STATUS:
         return "server_error"
-    return TYPES.get(status, "invalid_request_error")
+    return ERROR_TYPES.get(status, "invalid_request_error")
 
 
 def retry_after_ms(exc: GatewayError) -> int | None:
@@ -82,11 +82,11 @@
     stops them where a retry is useless here or could run the work twice.
     """
     retry = error_response(exc.kind).retry
-    again = b"true" if retry is Retry.LATER else b"false"
-    headers = [(b"content-type", b"application/json"), (b"x-should-retry", again)]
-    after = retry_after_ms(exc)
-    if after is not None and retry is Retry.LATER:
-        headers.append((b"retry-after", b"%d" % -(-after // MS_PER_SECOND)))
+    should_retry = b"true" if retry is Retry.LATER else b"false"
+    headers = [(b"content-type", b"application/json"), (b"x-should-retry", should_retry)]
+    retry_ms = retry_after_ms(exc)
+    if retry_ms is not None and retry is Retry.LATER:
+        headers.append((b"retry-after", b"%d" % -(-retry_ms // MS_PER_SECOND)))
     return headers
 
 
--- a/src/hickorybeam/front/relay.py
+++ b/src/hickorybeam/front/relay.py
@@ -9,7 +9,7 @@
 
 from hickorybeam.errors import ErrorKind, GatewayError
 from hickorybeam.front.refusals import error_event
-from hickorybeam.front.request import CallerGoneError
+from hickorybeam.front.request import CallerDisconnectedError
 from hickorybeam.model import ResponseChunk, ResponseEnd, ResponseHead
 
 if TYPE_CHECKING:
@@ -22,7 +22,7 @@
 
 EVENT_STREAM = "text/event-stream"
 # Proxies between us and the caller would otherwise collect the tokens of a stream.
-NOT_BUFFERED = ((b"cache-control", b"no-store"), (b"x-accel-buffering", b"no"))
+NO_BUFFERING_HEADERS = ((b"cache-control", b"no-store"), (b"x-accel-buffering", b"no"))
 
 
 async def relay(req: Request, parts: AsyncIterator[ResponsePart]) -> None:
@@ -32,14 +32,14 @@
     :raises CallerGoneError: the caller left.
     """
     with anyio.CancelScope() as scope:
-        req.conn.on_lost(scope.cancel)
+        req.conn.add_lost_callback(scope.cancel)
         try:
             async with aclosing(cast("AsyncGenerator[ResponsePart, None]", parts)):
                 await send_parts(req, parts)
             return
         finally:
-            req.conn.forget_lost(scope.cancel)
-    raise CallerGoneError
+            req.conn.remove_lost_callback(scope.cancel)
+    raise CallerDisconnectedError
 
 
 async def send_parts(req: Request, parts: AsyncIterator[ResponsePart]) -> None:
@@ -50,31 +50,31 @@
         async for part in parts:
             match part:
                 case ResponseChunk():
-                    await req.write(part.data)
+                    await req.write_body(part.data)
                 case ResponseHead():
                     streamed = is_stream(part)
-                    await req.start(part.status, head_headers(part, streamed=streamed))
+                    await req.start_response(part.status, response_headers(part, streamed=streamed))
                 case ResponseEnd():
                     ended = True
-                    await req.write(b"", more=False)
+                    await req.write_body(b"", more=False)
         if not ended:
             raise GatewayError(ErrorKind.STREAM_BROKEN)
     except GatewayError as exc:
-        if not req.answered:
+        if not req.response_started:
             raise
-        await break_off(req, exc, streamed=streamed)
+        await abort_response(req, exc, streamed=streamed)
         raise
 
 
-async def break_off(req: Request, exc: GatewayError, *, streamed: bool) -> None:
+async def abort_response(req: Request, exc: GatewayError, *, streamed: bool) -> None:
     """End an answer that has begun so that the caller sees it is not whole.
 
     A stream gets an error event and no end mark. Any other body is cut without its last
     chunk or the rest of its length, which every HTTP client reports as an error.
     """
     if streamed:
-        await req.write(error_event(exc))
-    req.conn.end()
+        await req.write_body(error_event(exc))
+    req.conn.close_early()
 
 
 def is_stream(head: ResponseHead) -> bool:
@@ -84,9 +84,9 @@
     )
 
 
-def head_headers(head: ResponseHead, *, streamed: bool) -> list[tuple[bytes, bytes]]:
+def response_headers(head: ResponseHead, *, streamed: bool) -> list[tuple[bytes, bytes]]:
     """Return the headers of an answer's head."""
     headers = [(name.encode("latin-1"), value.encode("latin-1")) for name, value in head.headers]
     if streamed:
-        headers.extend(NOT_BUFFERED)
+        headers.extend(NO_BUFFERING_HEADERS)
     return headers
--- a/src/hickorybeam/front/request.py
+++ b/src/hickorybeam/front/request.py
@@ -14,19 +14,19 @@
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable, MutableMapping
 
-    from hickorybeam.front.memory import MemoryGate
+    from hickorybeam.front.memory import MemoryBudget
     from hickorybeam.front.protocol import CallerProtocol
 
     Scope = MutableMapping[str, Any]
     Receive = Callable[[], Awaitable[MutableMapping[str, Any]]]
     Send = Callable[[MutableMapping[str, Any]], Awaitable[None]]
 
-__all__ = ("CallerGoneError", "Request")
+__all__ = ("CallerDisconnectedError", "Request")
 
 NO_BODY_STATUSES = (204, 304)
 
 
-class CallerGoneError(Exception):
+class CallerDisconnectedError(Exception):
     """The caller closed its connection; there is nobody to answer."""
 
 
@@ -44,13 +44,13 @@
         self.query: bytes = scope["query_string"]
         self.raw_headers: list[tuple[bytes, bytes]] = scope["headers"]
         self.conn: CallerProtocol = scope["extensions"][CONNECTION_KEY]
-        self.address: str = scope["client"][0] if scope["client"] else ""
-        self.answered = False
-        self.held_bytes = 0
-        self.closing = False
-        self._asked_body = False
-        self.counted = False
-        self.allow = ""
+        self.client_address: str = scope["client"][0] if scope["client"] else ""
+        self.response_started = False
+        self.reserved_bytes = 0
+        self.close_connection = False
+        self._body_requested = False
+        self.refusal_counted = False
+        self.allow_header = ""
         self.param: str | None = None
         self._receive = receive
         self._send = send
@@ -62,74 +62,74 @@
                 return value.decode("latin-1")
         return ""
 
-    async def body(self, memory: MemoryGate, *, limit: int) -> bytes:
+    async def body(self, memory: MemoryBudget, *, limit: int) -> bytes:
         """Read the body.
 
         :raises GatewayError: ``BODY_TOO_LARGE``, ``VM_FULL`` or ``CALLER_TIMEOUT``.
         :raises CallerGoneError: the caller left before the body was whole.
         """
-        self._asked_body = True
+        self._body_requested = True
         declared = self.header(b"content-length")
         if declared and int(declared) > limit:
             raise GatewayError(ErrorKind.BODY_TOO_LARGE, f"the limit is {limit} bytes")
         with anyio.CancelScope() as scope:
-            self.conn.on_late_body(scope.cancel)
+            self.conn.set_late_body_callback(scope.cancel)
             try:
-                return await self._read(memory, limit)
+                return await self._read_body(memory, limit)
             finally:
-                self.conn.on_late_body(None)
+                self.conn.set_late_body_callback(None)
         raise GatewayError(ErrorKind.CALLER_TIMEOUT)
 
-    async def _read(self, memory: MemoryGate, limit: int) -> bytes:
-        parts: list[bytes] = []
+    async def _read_body(self, memory: MemoryBudget, limit: int) -> bytes:
+        chunks: list[bytes] = []
         size = 0
         while True:
             message = await self._receive()
             if message["type"] == "http.disconnect":
-                raise CallerGoneError
-            part: bytes = message.get("body", b"")
-            memory.reserve(len(part))
-            self.held_bytes += len(part)
-            parts.append(part)
-            size += len(part)
+                raise CallerDisconnectedError
+            chunk: bytes = message.get("body", b"")
+            memory.reserve(len(chunk))
+            self.reserved_bytes += len(chunk)
+            chunks.append(chunk)
+            size += len(chunk)
             if size > limit:
                 raise GatewayError(ErrorKind.BODY_TOO_LARGE, f"the limit is {limit} bytes")
             if not message.get("more_body"):
-                return b"".join(parts)
+                return b"".join(chunks)
 
-    async def start(self, status: int, headers: list[tuple[bytes, bytes]]) -> None:
+    async def start_response(self, status: int, headers: list[tuple[bytes, bytes]]) -> None:
         """Send status and headers."""
         if status in NO_BODY_STATUSES:
             # Some servers give a length with 304; the answer has no body all the same.
             headers = [header for header in headers if header[0] != b"content-length"]
         headers.append((b"x-request-id", self.id.encode()))
-        if self.closing or (self.header(b"expect") and not self._asked_body):
+        if self.close_connection or (self.header(b"expect") and not self._body_requested):
             # A caller that waits to be told to send its body may send its next request
             # instead, and the parser would take that request for the body.
             headers.append((b"connection", b"close"))
-        self.answered = True
+        self.response_started = True
         await self._send({"type": "http.response.start", "status": status, "headers": headers})
 
-    async def write(self, data: bytes, *, more: bool = True) -> None:
+    async def write_body(self, data: bytes, *, more: bool = True) -> None:
         """Send a part of the body; waits while the caller does not read."""
         await self._send({"type": "http.response.body", "body": data, "more_body": more})
 
-    async def json(
+    async def respond_json(
         self, status: int, value: object, *, headers: tuple[tuple[bytes, bytes], ...] = ()
     ) -> None:
         """Send a whole JSON answer."""
         data = msgspec.json.encode(value)
-        await self.whole(status, data, (b"content-type", b"application/json"), *headers)
+        await self.respond(status, data, (b"content-type", b"application/json"), *headers)
 
-    async def whole(self, status: int, data: bytes, *headers: tuple[bytes, bytes]) -> None:
+    async def respond(self, status: int, data: bytes, *headers: tuple[bytes, bytes]) -> None:
         """Send a whole answer."""
-        await self.start(status, [*headers, (b"content-length", b"%d" % len(data))])
-        await self.write(data, more=False)
+        await self.start_response(status, [*headers, (b"content-length", b"%d" % len(data))])
+        await self.write_body(data, more=False)
 
     async def refuse(self, exc: GatewayError) -> None:
         """Send a refusal."""
         headers = refusal_headers(exc)
-        if self.allow:
-            headers.append((b"allow", self.allow.encode()))
+        if self.allow_header:
+            headers.append((b"allow", self.allow_header.encode()))
         body = refusal_body(exc, param=self.param)
-        await self.whole(error_response(exc.kind).status, body, *headers)
+        await self.respond(error_response(exc.kind).status, body, *headers)
--- a/src/hickorybeam/front/routes.py
+++ b/src/hickorybeam/front/routes.py
@@ -8,8 +8,8 @@
 from absl import logging
 
 from hickorybeam.errors import ErrorKind, GatewayError
-from hickorybeam.front import directory, operators, work
-from hickorybeam.front.request import CallerGoneError
+from hickorybeam.front import calls, directory, operators
+from hickorybeam.front.request import CallerDisconnectedError
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable, Mapping
@@ -19,11 +19,11 @@
 
     Handler = Callable[[FrontContext, Request], Awaitable[None]]
 
-__all__ = ("answer", "find")
+__all__ = ("handle_request", "find_handlers")
 
 ROUTES: Mapping[str, Mapping[str, Handler]] = {
-    "/v1/chat/completions": {"POST": work.chat},
-    "/v1/completions": {"POST": work.completion},
+    "/v1/chat/completions": {"POST": calls.chat},
+    "/v1/completions": {"POST": calls.completion},
     "/v1/models": {"GET": directory.models},
     "/v1/entries": {"GET": directory.entries},
     "/v1/idempotency-keys": {"POST": directory.idempotency_keys},
@@ -35,71 +35,73 @@
     "/healthz": {"GET": directory.health},
 }
 SERVICE_METHODS = ("DELETE", "GET", "HEAD", "OPTIONS", "PATCH", "POST", "PUT")
-SERVICE_ROUTES: Mapping[str, Handler] = dict.fromkeys(SERVICE_METHODS, work.plain_service)
-CONFIGURED_ROUTES: Mapping[str, Handler] = dict.fromkeys(SERVICE_METHODS, work.routed)
+SERVICE_HANDLERS: Mapping[str, Handler] = dict.fromkeys(SERVICE_METHODS, calls.plain_service)
+CONFIGURED_ROUTE_HANDLERS: Mapping[str, Handler] = dict.fromkeys(
+    SERVICE_METHODS, calls.configured_route
+)
 
 
-def find(context: FrontContext, req: Request) -> Mapping[str, Handler] | None:
+def find_handlers(context: FrontContext, req: Request) -> Mapping[str, Handler] | None:
     """Return the handlers of a path by method: the gateway's own, then configured ones."""
-    if req.path.startswith(work.SERVICES_PREFIX):
-        return SERVICE_ROUTES
-    found = ROUTES.get(req.path)
-    if found is None and context.route_of(req) is not None:
-        return CONFIGURED_ROUTES
-    return found
+    if req.path.startswith(calls.SERVICES_PREFIX):
+        return SERVICE_HANDLERS
+    handlers = ROUTES.get(req.path)
+    if handlers is None and context.match_route(req) is not None:
+        return CONFIGURED_ROUTE_HANDLERS
+    return handlers
 
 
-async def answer(context: FrontContext, req: Request) -> None:
+async def handle_request(context: FrontContext, req: Request) -> None:
     """Answer one request; nothing that a caller sends gets past here as a traceback."""
-    req.closing = context.draining
+    req.close_connection = context.draining
     try:
-        await handle(context, req)
+        await run_handler(context, req)
         outcome = "answered"
-    except CallerGoneError:
+    except CallerDisconnectedError:
         outcome = "caller_gone"
     except GatewayError as exc:
-        outcome = "refused" if not req.answered else "broken"
-        if not req.counted:
+        outcome = "refused" if not req.response_started else "broken"
+        if not req.refusal_counted:
             context.counters.refusals.labels(exc.kind.value).inc()
-        if not req.answered:
+        if not req.response_started:
             await req.refuse(exc)
     except Exception as exc:
         outcome = "fault"
-        log_fault(req, exc)
+        log_internal_error(req, exc)
         context.counters.refusals.labels(ErrorKind.INTERNAL.value).inc()
-        if req.answered:
-            req.conn.end()
+        if req.response_started:
+            req.conn.close_early()
         else:
             await req.refuse(GatewayError(ErrorKind.INTERNAL))
     finally:
-        context.memory.release(req.held_bytes)
-        req.held_bytes = 0
+        context.memory.release(req.reserved_bytes)
+        req.reserved_bytes = 0
     context.counters.requests.labels(route_label(context, req), outcome).inc()
 
 
-async def handle(context: FrontContext, req: Request) -> None:
+async def run_handler(context: FrontContext, req: Request) -> None:
     """Find the handler and run it."""
-    handlers = find(context, req)
+    handlers = find_handlers(context, req)
     if handlers is None:
         raise GatewayError(ErrorKind.ROUTE_UNKNOWN)
     handler = handlers.get(req.method)
     if handler is None:
-        allow = ", ".join(sorted(handlers))
-        req.allow = allow
+        allow_header = ", ".join(sorted(handlers))
+        req.allow_header = allow_header
         raise GatewayError(ErrorKind.METHOD_NOT_ALLOWED)
     await handler(context, req)
 
 
 def route_label(context: FrontContext, req: Request) -> str:
     """Return the path's name in metrics; a closed list, whatever callers ask for."""
-    if req.path.startswith(work.SERVICES_PREFIX):
+    if req.path.startswith(calls.SERVICES_PREFIX):
         return "services"
     if req.path in ROUTES:
         return req.path.rsplit("/", 1)[-1]
-    return "routed" if context.route_of(req) is not None else "unknown"
+    return "routed" if context.match_route(req) is not None else "unknown"
 
 
-def log_fault(req: Request, exc: Exception) -> None:
+def log_internal_error(req: Request, exc: Exception) -> None:
     """Log where a fault happened, without the message, which may quote the request."""
-    places = "".join(traceback.format_tb(exc.__traceback__))
-    logging.error("request %s: %s\n%s", req.id, type(exc).__name__, places)
+    stack = "".join(traceback.format_tb(exc.__traceback__))
+    logging.error("request %s: %s\n%s", req.id, type(exc).__name__, stack)
--- a/src/hickorybeam/front/service.py
+++ b/src/hickorybeam/front/service.py
@@ -11,8 +11,8 @@
 
 from hickorybeam.front import routes
 from hickorybeam.front.context import FrontContext
-from hickorybeam.front.memory import MemoryGate
-from hickorybeam.front.protocol import CallerProtocol, Guard
+from hickorybeam.front.memory import MemoryBudget
+from hickorybeam.front.protocol import CallerProtocol, ConnectionLimits
 from hickorybeam.front.request import Request
 from hickorybeam.httpserve import serve_app
 from hickorybeam.kernel import Service
@@ -39,12 +39,12 @@
 
 __all__ = ("FrontService",)
 
-TICK_MS = 100
+WATCHDOG_TICK_MS = 100
 DRAIN_POLL_MS = 20
 # Callers hold lists of VMs and connections that still lead here; for this long they get a
 # refusal that names other VMs, where a closed port would tell them nothing.
 DRAIN_LINGER_MS = 500
-ID_BYTES = 6
+ID_PREFIX_BYTES = 6
 
 
 class FrontService(Service):
@@ -57,15 +57,15 @@
         self._cfg = cfg
         self._clock = clock
         self._counters = counters
-        self._watchdog = Watchdog(clock, tick_ms=TICK_MS)
-        self._guard = Guard(cfg.front, self._watchdog, self._count_refusal)
-        self._memory = MemoryGate(cfg.front.memory_bytes)
-        self._prefix = secrets.token_hex(ID_BYTES)
-        self._numbers = itertools.count(1)
+        self._watchdog = Watchdog(clock, tick_ms=WATCHDOG_TICK_MS)
+        self._connection_limits = ConnectionLimits(cfg.front, self._watchdog, self._count_refusal)
+        self._memory = MemoryBudget(cfg.front.memory_bytes)
+        self._id_prefix = secrets.token_hex(ID_PREFIX_BYTES)
+        self._request_numbers = itertools.count(1)
         self._in_flight = 0
         self._port = 0
         open_connections = counters.gauge("caller_connections", "Open connections of callers")
-        open_connections.set_function(lambda: len(self._guard.conns))
+        open_connections.set_function(lambda: len(self._connection_limits.conns))
         in_flight = counters.gauge("requests_in_flight", "Requests being answered")
         in_flight.set_function(lambda: self._in_flight)
         held = counters.gauge("request_memory_bytes", "Memory reserved for requests")
@@ -100,7 +100,7 @@
         vm = self._cfg.vm
         async with anyio.create_task_group() as tg:
             tg.start_soon(self._watchdog.run)
-            protocol = functools.partial(CallerProtocol, guard=self._guard)
+            protocol = functools.partial(CallerProtocol, limits=self._connection_limits)
             async with serve_app(
                 self,
                 host=vm.host,
@@ -121,13 +121,13 @@
         self._context.draining = True
         await self._clock.sleep(DRAIN_LINGER_MS)
         # An answer that is written but not yet taken by its caller would be cut off too.
-        while self._in_flight or self._guard.unflushed():
+        while self._in_flight or self._connection_limits.has_unsent_data():
             await self._clock.sleep(DRAIN_POLL_MS)
 
     def status(self) -> dict[str, object]:
         """Tell of connections, requests and memory."""
         return {
-            "connections": len(self._guard.conns),
+            "connections": len(self._connection_limits.conns),
             "in_flight": self._in_flight,
             "memory_bytes": self._memory.used,
             "draining": self._context.draining,
@@ -135,11 +135,11 @@
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
         """Answer one request as an ASGI app."""
-        request_id = f"{self._prefix}{next(self._numbers):x}"
+        request_id = f"{self._id_prefix}{next(self._request_numbers):x}"
         req = Request(scope, receive, send, request_id=request_id)
         self._in_flight += 1
         try:
-            await routes.answer(self._context, req)
+            await routes.handle_request(self._context, req)
         finally:
             self._in_flight -= 1
 
--- a/tests/steps/front/callers_steps.py
+++ b/tests/steps/front/callers_steps.py
@@ -148,7 +148,7 @@
 @when("the front has {count:d} open connections from one address")
 def step_connections(context, count):
     context.open = [connect(context) for _ in range(count)]
-    context.call(eventually, lambda: len(context.rig.front._guard.conns) == count)
+    context.call(eventually, lambda: len(context.rig.front._connection_limits.conns) == count)
 
 
 @when("a caller connects to the front and stays silent")
@@ -218,7 +218,9 @@
 def step_stale(context, age, limit):
     context.rig.config.age_ms = lambda: age * 1000
     front_context = context.rig.front._context
-    front_context.cfg = replace(front_context.cfg, config=replace(front_context.cfg.config, stale_after_ms=limit * 1000))
+    front_context.cfg = replace(
+        front_context.cfg, config=replace(front_context.cfg.config, stale_after_ms=limit * 1000)
+    )
 
 
 @then('the front answers {status:d} with code "{code}" and ran "{ran}"')
@@ -280,7 +282,7 @@
         for _ in range(count):
             connect(context, f"127.0.0.{number + 2}")
     total = count * addresses
-    context.call(eventually, lambda: len(context.rig.front._guard.conns) == total)
+    context.call(eventually, lambda: len(context.rig.front._connection_limits.conns) == total)
 
 
 @then('the front refuses a connection from any address with "{code}"')
