--- a/src/hickorybeam/front/identity.py
+++ b/src/hickorybeam/front/identity.py
@@ -1,4 +1,4 @@
-"""Who asks: from the key in the headers to the client account, and what it may do here."""
+"""Authentication: from the key in the headers to the client account and its rights."""
 
 from __future__ import annotations
 
@@ -13,28 +13,33 @@
 
     from hickorybeam.model import ClientAccount, ConfigState
 
-__all__ = ("Identity", "identify", "is_operator", "secret_of")
+__all__ = ("Identity", "identify", "is_operator", "extract_secret")
 
-BEARER = "bearer "
+BEARER_PREFIX = "bearer "
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Identity:
-    """An authenticated caller; ``allowed`` are the regions that may see its data."""
+    """An authenticated caller.
+
+    :param key_digest: digest of the caller's key.
+    :param operator: whether the key may call the operator API.
+    :param allowed_regions: regions that may process its data, None if its rule is unknown.
+    """
 
     account: ClientAccount
-    digest: str
+    key_digest: str
     operator: bool
-    allowed: frozenset[str] | None
+    allowed_regions: frozenset[str] | None
 
 
-def secret_of(authorization: str, api_key: str = "") -> str:
-    """Return the key that came with a request.
+def extract_secret(authorization: str, api_key: str = "") -> str:
+    """Return the key from the values of its headers.
 
     :raises GatewayError: ``KEY_MISSING``.
     """
-    if authorization[: len(BEARER)].lower() == BEARER:
-        secret = authorization[len(BEARER) :].strip()
+    if authorization[: len(BEARER_PREFIX)].lower() == BEARER_PREFIX:
+        secret = authorization[len(BEARER_PREFIX) :].strip()
     else:
         secret = api_key.strip()
     if not secret:
@@ -43,18 +48,17 @@
 
 
 def identify(state: ConfigState, secret: str) -> Identity:
-    """Find the account of a key.
+    """Return the identity that a key stands for.
 
-    Looking a digest up in a table takes a time that depends on the digest. That tells an
-    attacker nothing of use: to come closer to a digest by its first bytes one would have to
-    invert SHA-256.
+    The time of the dictionary lookup depends on the digest. This does not help an attacker, who
+    would have to invert SHA-256 to approach a digest by its first bytes.
 
     :raises GatewayError: ``KEY_UNKNOWN`` or ``KEY_WITHDRAWN``; nothing ran in either case.
     """
     digest = key_digest(secret)
     key = state.keys.get(digest)
     if key is None:
-        if state.is_withdrawn(digest):
+        if state.is_revoked(digest):
             raise GatewayError(ErrorKind.KEY_WITHDRAWN, ran=Ran.NO)
         raise GatewayError(ErrorKind.KEY_UNKNOWN)
     account = state.accounts.get(key.account)
@@ -62,19 +66,19 @@
         raise GatewayError(ErrorKind.KEY_WITHDRAWN, "its account is deleted", ran=Ran.NO)
     return Identity(
         account=account,
-        digest=digest,
+        key_digest=digest,
         operator=key.operator,
-        allowed=state.allowed_regions(account),
+        allowed_regions=state.allowed_regions(account),
     )
 
 
-def is_operator(state: ConfigState, secret: str, always: Iterable[str]) -> bool:
-    """Whether a key may call the operator API.
+def is_operator(state: ConfigState, secret: str, configured_digests: Iterable[str]) -> bool:
+    """Return whether a key may call the operator API.
 
-    :param always: digests from the settings, which work before the first ticket.
+    :param configured_digests: digests from the settings, accepted even before the first ticket.
     """
     digest = key_digest(secret)
-    if digest in always:
+    if digest in configured_digests:
         return True
     key = state.keys.get(digest)
     return key is not None and key.operator
