--- a/bench/peer_call.py
+++ b/bench/peer_call.py
@@ -20,7 +20,7 @@
 from hickorybeam.model import ResponseChunk, ResponseEnd, ResponseHead
 from hickorybeam.peers import make_authority, make_certificate
 from hickorybeam.settings import PeerSettings, TlsSettings
-from support.peer_nodes import ECHO, Node, EchoMessage, make_call
+from support.peer_nodes import ECHO, EchoMessage, Node, make_call
 
 CALLS = 2_000
 AT_ONCE = 20
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -166,7 +166,8 @@
         "a neighbour that took over is heeded",
         "shares/service.py",
         "            self._ledger_client.stop_using_shares()\n",
-        "            self._ledger_client.lease_state.neighbours_promised(asked_at_ms, promise_ms)\n",
+        "            self._ledger_client.lease_state.neighbours_promised("
+        "asked_at_ms, promise_ms)\n",
         "shares",
     ),
     Mutation(
