--- a/tests/cli/cli.feature
+++ b/tests/cli/cli.feature
@@ -1,14 +1,14 @@
-Feature: the daemon as a real process and the operator's commands
+Feature: the daemon as a separate process and the operator's commands
 
   Scenario: a daemon process is configured, serves, and shuts down gracefully
-    # The daemon is a child process; caller and operator reach it over TCP only. SIGTERM comes
-    # while a stream runs: the stream is finished, then the process ends with code 0.
+    # The daemon is a child process that caller and operator reach only over TCP. It gets
+    # SIGTERM during a stream, finishes the stream and exits with code 0.
     Given a platform stand-in, an engine and a daemon process
     When the command "ticket submit first.json" is run
     Then the command exits with 0 and prints "ticket 1 is accepted at position 1"
     When the command "key make small --json" is run
     Then the command exits with 0 and prints "hb-"
-    And a streamed question with that key to the daemon is answered whole
+    And a streamed chat call with that key to the daemon gets a complete response
     When the command "ticket list" is run
     Then the command exits with 0 and prints "first state"
     When the command "ticket show 1" is run
@@ -17,11 +17,11 @@
     Then the command exits with 0 and prints "+ keys"
     When the command "status" is run
     Then the command exits with 0 and prints "position: 2"
-    When that key is withdrawn by command
-    Then a streamed question with that key to the daemon is refused "key_withdrawn"
+    When that key is revoked by command
+    Then a streamed chat call with that key to the daemon is refused with "key_withdrawn"
     And the daemon finishes a running stream after SIGTERM and exits with 0
 
-  Scenario Outline: exit codes tell programs what happened
+  Scenario Outline: exit codes distinguish success, refusals, invalid input and unreachable VMs
     Given a platform stand-in, an engine and a daemon process
     When the command "<command>" is run
     Then the command exits with <code> and prints "<text>"
--- a/tests/cli/docs.feature
+++ b/tests/cli/docs.feature
@@ -1,13 +1,13 @@
-Feature: the pages tell what the code does
+Feature: the documentation matches the code
 
-  Scenario: the operators' reference is what the code would write now
+  Scenario: the operators' reference is up to date
     Then docs/operators/reference.md is what tools/make_reference.py writes
 
-  Scenario: every command shown in the pages is one that the command line knows
+  Scenario: every command shown in the documentation exists with its options
     Then each "hickorybeam" line of README.md and docs/ names a known command with known options
 
-  Scenario: every page that a page links to is there
+  Scenario: every linked file exists
     Then each link of README.md, CONTRIBUTING.md and docs/ leads to a file
 
-  Scenario: example files that the pages name are right
+  Scenario: example files named in the documentation are valid
     Then each examples/ path in README.md and docs/ passes its check
--- a/tests/front/callers.feature
+++ b/tests/front/callers.feature
@@ -1,11 +1,11 @@
-Feature: what callers send is checked before it costs anything
+Feature: checks of callers' requests before they use resources
 
   Background:
     Given a front rig
 
-  Scenario Outline: requests that are refused
+  Scenario Outline: invalid requests are refused as not run
     When the front gets "<method>" "<path>" with key "<key>" and body "<body>"
-    Then the front answers <status> with code "<code>" and ran "no"
+    Then the front responds with status <status>, code "<code>" and ran "no"
     And the front counted a refusal "<code>"
 
     Examples: keys and paths
@@ -53,13 +53,13 @@
   Scenario: a refusal names the field at fault and every refusal has a request id
     When the front gets "POST" "/v1/chat/completions" with key "sk-family" and body "{"model":"small","messages":[{}],"max_tokens":"x"}"
     Then the front's refusal names field "max_tokens"
-    And the front's answer has a request id
+    And the front's response has a request id
 
-  Scenario Outline: bytes that are not a request
-    # A caller sends what no HTTP library would. It gets the refusal as JSON and a closed
-    # connection, and the front goes on.
+  Scenario Outline: invalid or oversized raw requests
+    # A caller sends bytes that no HTTP library would. It gets a refusal in JSON and the
+    # connection is closed; the front keeps serving.
     When the front gets raw bytes "<what>"
-    Then the front answers raw with status <status> and code "<code>"
+    Then the raw response of the front has status <status> and code "<code>"
     And the front counted a refusal "<code>"
 
     Examples:
@@ -80,32 +80,32 @@
       | nested body         | 400    | bad_request          |
       | long idempotency    | 400    | idempotency_invalid  |
 
-  Scenario: one address cannot take all connections
+  Scenario: connections are limited for each address
     When the front has 8 open connections from one address
-    Then the front refuses one more with "too_many_connections"
+    Then the front refuses one more connection with "too_many_connections"
 
-  Scenario: connections cannot take the files and memory that running requests need
+  Scenario: connections cannot use up the file descriptors and memory of running requests
     # Callers at many addresses hold connections, each address within its own limit.
     When the front has 8 open connections from each of 3 addresses
     Then the front refuses a connection from any address with "vm_full"
 
-  Scenario: a caller that sends nothing is let go
-    When a caller connects to the front and stays silent
+  Scenario: a connection without a request is closed
+    When a caller connects to the front and sends nothing
     Then the front closes the connection after 1500 to 2300 ms
 
-  Scenario: bodies in flight cannot fill the VM
-    # Six callers hold open streams; memory for a seventh is not there. It is told that it
-    # was not run and which other VMs there are.
-    Given the front rig's engine gives its first token late
+  Scenario: requests in flight cannot exhaust the VM's memory
+    # Six callers hold open streams and there is no memory for a seventh. Its refusal says that
+    # the call did not run, and lists other VMs.
+    Given the engine behind the front delays its first token
     When 6 callers hold streams open at the front
     And the front gets a chat call
-    Then the front answers 503 with code "vm_full" and ran "no"
-    And the front's refusal names entries "http://127.0.0.1:8002 http://127.0.0.1:8003"
+    Then the front responds with status 503, code "vm_full" and ran "no"
+    And the front's refusal lists entries "http://127.0.0.1:8002 http://127.0.0.1:8003"
 
-  Scenario: the key and forged headers do not pass the front
+  Scenario: the key and forged headers are not forwarded
     When the front gets a plain call with forged headers
-    Then the plain service behind the front saw no key and no forged header
+    Then the plain service behind the front got no key and no forged header
 
-  Scenario: the front sets a limit on tokens where the caller sets none
-    When the front gets a chat call without a limit
-    Then the call behind the front has a limit in its body and its cost
+  Scenario: the front sets a token limit if the caller sets none
+    When the front gets a chat call without a token limit
+    Then the call behind the front has a token limit in its body and its cost
--- a/tests/front/openai.feature
+++ b/tests/front/openai.feature
@@ -1,11 +1,11 @@
-Feature: a client library of the published API works unchanged
+Feature: the OpenAI client library works unchanged
 
   Background:
     Given a front rig
 
-  Scenario Outline: answers
-    When an openai client at the front asks for "<kind>", streamed: <streamed>
-    Then the openai client at the front got the whole answer
+  Scenario Outline: completions
+    When an openai client at the front requests "<kind>", streamed: <streamed>
+    Then the openai client at the front got the complete response
 
     Examples:
       | kind       | streamed |
@@ -14,13 +14,13 @@
       | completion | no       |
       | completion | yes      |
 
-  Scenario: models
+  Scenario: list of models
     When an openai client at the front lists models
     Then the openai client at the front got models "small"
 
-  Scenario Outline: refusals are the library's own errors
+  Scenario Outline: refusals become the library's own errors
     Given dispatch behind the front refuses with "<kind>"
-    When an openai client at the front asks for "chat", streamed: yes
+    When an openai client at the front requests "chat", streamed: yes
     Then the openai client at the front got error "<error>" with code "<kind>"
 
     Examples:
@@ -31,14 +31,14 @@
       | overloaded     | InternalServerError |
       | bad_request    | BadRequestError     |
 
-  Scenario: a stream that breaks is an error and never a clean end
-    # The engine breaks the connection again and again after two tokens. The client sees two
-    # tokens, then an error event; no end mark, and the connection is closed.
+  Scenario: a broken stream ends with an error and not like a complete one
+    # The engine breaks the connection after two tokens, on every attempt. The client gets two
+    # tokens and an error event, but no end mark, and the connection is closed.
     Given the engine behind the front has fault "cut" after 2 tokens
-    When an openai client at the front asks for "chat", streamed: yes
+    When an openai client at the front requests "chat", streamed: yes
     Then the openai client at the front got 2 tokens and error "APIError" with code "stream_broken"
 
-  Scenario: a client library does not repeat what must not be repeated
+  Scenario: the client library does not retry a call that may have run
     Given dispatch behind the front refuses with "backend_unknown"
-    When an openai client at the front that retries asks for "chat"
+    When an openai client at the front that retries requests "chat"
     Then dispatch behind the front got 1 call
--- a/tests/steps/cli/cli_steps.py
+++ b/tests/steps/cli/cli_steps.py
@@ -37,7 +37,7 @@
     }
     backend = {"name": "e1", "kind": "engine", "region": "here", "data_centre": "dc"}
     backend |= {"host": "127.0.0.1", "port": engine_port, "serves": ["tiny"]}
-    first = {
+    first_ticket = {
         "number": 1,
         "note": "first state",
         "regions": [{"name": "here", "data_centres": ["dc"]}],
@@ -45,13 +45,16 @@
         "models": [{"name": "tiny", "regions": ["here"]}],
         "backends": [backend],
     }
-    wrong = first | {"accounts": [{"name": "small", "rate": "many", "burst": 1}]}
-    dangling = first | {"number": 7, "keys": [{"name": "0" * 64, "account": "nobody"}]}
+    invalid_ticket = first_ticket | {"accounts": [{"name": "small", "rate": "many", "burst": 1}]}
+    dangling_ticket = first_ticket | {
+        "number": 7,
+        "keys": [{"name": "0" * 64, "account": "nobody"}],
+    }
     for name, content in {
         "vm": settings,
-        "first": first,
-        "wrong": wrong,
-        "dangling": dangling,
+        "first": first_ticket,
+        "wrong": invalid_ticket,
+        "dangling": dangling_ticket,
     }.items():
         (folder / f"{name}.json").write_text(json.dumps(content))
     return f"http://127.0.0.1:{http_port}"
@@ -61,23 +64,23 @@
 def step_start(context):
     enter = context.stack.enter_context
     context.folder = Path(enter(tempfile.TemporaryDirectory()))
-    served = enter(context.portal.wrap_async_context_manager(platform.serve()))
+    platform_server = enter(context.portal.wrap_async_context_manager(platform.serve()))
     app = engine.EngineApp(models=("tiny",))
-    model = enter(context.portal.wrap_async_context_manager(engine.serve(app=app)))
-    context.url = write_files(context.folder, served.port, model.port)
-    cmd = [sys.executable, "-m", "hickorybeam", "run", "vm.json"]
+    engine_server = enter(context.portal.wrap_async_context_manager(engine.serve(app=app)))
+    context.url = write_files(context.folder, platform_server.port, engine_server.port)
+    command_line = [sys.executable, "-m", "hickorybeam", "run", "vm.json"]
     log = enter((context.folder / "daemon.log").open("wb"))
-    context.daemon = subprocess.Popen(cmd, cwd=context.folder, stdout=log, stderr=log)
-    context.stack.callback(end, context.daemon)
-    context.call(until_up, context)
+    context.daemon = subprocess.Popen(command_line, cwd=context.folder, stdout=log, stderr=log)
+    context.stack.callback(stop_daemon, context.daemon)
+    context.call(wait_until_ready, context)
 
 
-def end(child):
-    child.kill()
-    child.wait()
+def stop_daemon(daemon):
+    daemon.kill()
+    daemon.wait()
 
 
-async def until_up(context):
+async def wait_until_ready(context):
     caller = Caller(OPERATOR)
     with anyio.fail_after(30):
         while True:
@@ -89,18 +92,20 @@
             await anyio.sleep(0.05)
 
 
-def run_command(context, words):
-    if words[0] in COMMANDS_WITH_URL and not any(word.startswith("--url") for word in words):
-        words = [*words, f"--url={context.url}"]
-    cmd = [sys.executable, "-m", "hickorybeam", *words]
+def run_command(context, arguments):
+    if arguments[0] in COMMANDS_WITH_URL and not any(
+        argument.startswith("--url") for argument in arguments
+    ):
+        arguments = [*arguments, f"--url={context.url}"]
+    command_line = [sys.executable, "-m", "hickorybeam", *arguments]
     env = os.environ | {"HICKORYBEAM_KEY": OPERATOR, "PAGER": "cat"}
-    done = subprocess.run(
-        cmd, cwd=context.folder, capture_output=True, text=True, env=env, check=False
+    completed = subprocess.run(
+        command_line, cwd=context.folder, capture_output=True, text=True, env=env, check=False
     )
-    context.code, context.printed = done.returncode, done.stdout + done.stderr
-    found = re.search(r'"key": "([^"]+)"', done.stdout)
-    if found:
-        context.key = found.group(1)
+    context.exit_code, context.output = completed.returncode, completed.stdout + completed.stderr
+    match = re.search(r'"key": "([^"]+)"', completed.stdout)
+    if match:
+        context.key = match.group(1)
 
 
 @when('the command "{command}" is run')
@@ -108,50 +113,50 @@
     run_command(context, command.split())
 
 
-@when("that key is withdrawn by command")
+@when("that key is revoked by command")
 def step_withdraw(context):
     run_command(context, ["key", "withdraw", context.key])
-    assert context.code == 0, context.printed
+    assert context.exit_code == 0, context.output
 
 
 @then('the command exits with {code:d} and prints "{text}"')
 def step_exit(context, code, text):
-    assert context.code == code, (context.code, context.printed)
-    assert text in context.printed, context.printed
+    assert context.exit_code == code, (context.exit_code, context.output)
+    assert text in context.output, context.output
 
 
-@then("a streamed question with that key to the daemon is answered whole")
+@then("a streamed chat call with that key to the daemon gets a complete response")
 def step_answered(context):
-    reply = context.call(Caller(context.key).chat, context.url, "tiny", "hello")
+    response = context.call(Caller(context.key).chat, context.url, "tiny", "hello")
     body = {"model": "tiny", "messages": [{"role": "user", "content": "hello"}], "max_tokens": 16}
-    assert reply.status == 200, reply
-    assert reply.text == engine.answer_text(body), reply.text
+    assert response.status == 200, response
+    assert response.text == engine.answer_text(body), response.text
 
 
-@then('a streamed question with that key to the daemon is refused "{code}"')
+@then('a streamed chat call with that key to the daemon is refused with "{code}"')
 def step_refused(context, code):
-    reply = context.call(Caller(context.key).chat, context.url, "tiny", "hello")
-    assert reply.code == code, reply
+    response = context.call(Caller(context.key).chat, context.url, "tiny", "hello")
+    assert response.code == code, response
 
 
 @then("the daemon finishes a running stream after SIGTERM and exits with 0")
 def step_graceful(context):
     run_command(context, ["key", "make", "small", "--json"])
 
-    async def ask_and_stop():
-        replies = []
+    async def chat_during_sigterm():
+        responses = []
 
-        async def ask():
+        async def chat():
             caller = Caller(context.key)
-            replies.append(await caller.chat(context.url, "tiny", "bye", max_tokens=200))
+            responses.append(await caller.chat(context.url, "tiny", "bye", max_tokens=200))
 
         async with anyio.create_task_group() as tg:
-            tg.start_soon(ask)
+            tg.start_soon(chat)
             await anyio.sleep(0.3)
             context.daemon.send_signal(signal.SIGTERM)
-        return replies[0]
+        return responses[0]
 
-    reply = context.call(ask_and_stop)
+    response = context.call(chat_during_sigterm)
     body = {"model": "tiny", "messages": [{"role": "user", "content": "bye"}], "max_tokens": 200}
-    assert reply.text == engine.answer_text(body), reply
+    assert response.text == engine.answer_text(body), response
     assert context.daemon.wait(30) == 0, (context.folder / "daemon.log").read_text()
--- a/tests/steps/cli/docs_steps.py
+++ b/tests/steps/cli/docs_steps.py
@@ -17,47 +17,47 @@
 PAGES = [ROOT / "README.md", ROOT / "CONTRIBUTING.md", *sorted((ROOT / "docs").rglob("*.md"))]
 
 
-def lines(pattern):
+def find_in_pages(pattern):
     for page in PAGES:
-        for found in re.finditer(pattern, page.read_text(), re.M):
-            yield page, found
+        for match in re.finditer(pattern, page.read_text(), re.M):
+            yield page, match
 
 
 @then("docs/operators/reference.md is what tools/make_reference.py writes")
 def step_reference(context):
-    cmd = [sys.executable, str(ROOT / "tools" / "make_reference.py"), "--print"]
-    done = subprocess.run(cmd, capture_output=True, text=True, check=True)
+    command_line = [sys.executable, str(ROOT / "tools" / "make_reference.py"), "--print"]
+    completed = subprocess.run(command_line, capture_output=True, text=True, check=True)
     page = (ROOT / "docs" / "operators" / "reference.md").read_text()
-    assert page.strip() == done.stdout.strip(), "run tools/make_reference.py"
+    assert page.strip() == completed.stdout.strip(), "run tools/make_reference.py"
 
 
 @then('each "hickorybeam" line of README.md and docs/ names a known command with known options')
 def step_commands(context):
-    seen = 0
-    for page, found in lines(r"^    hickorybeam ([^#\n]+)"):
-        words = found.group(1).split()
+    count = 0
+    for page, match in find_in_pages(r"^    hickorybeam ([^#\n]+)"):
+        arguments = match.group(1).split()
         target = Commands()
-        while words and re.fullmatch(r"[a-z]+", words[0]) and hasattr(target, words[0]):
-            target = getattr(target, words.pop(0))
-        assert callable(target), (page, found.group(0))
+        while arguments and re.fullmatch(r"[a-z]+", arguments[0]) and hasattr(target, arguments[0]):
+            target = getattr(target, arguments.pop(0))
+        assert callable(target), (page, match.group(0))
         allowed = inspect.signature(target).parameters
-        for word in words:
-            if word.startswith("--"):
-                name = word[2:].partition("=")[0].replace("-", "_")
-                assert name in allowed, (page, found.group(0), name)
-        seen += 1
-    assert seen >= 8, seen
+        for argument in arguments:
+            if argument.startswith("--"):
+                name = argument[2:].partition("=")[0].replace("-", "_")
+                assert name in allowed, (page, match.group(0), name)
+        count += 1
+    assert count >= 8, count
 
 
 @then("each link of README.md, CONTRIBUTING.md and docs/ leads to a file")
 def step_links(context):
-    for page, found in lines(r"\]\(([^)#:]+)\)"):
-        assert (page.parent / found.group(1)).exists(), (page, found.group(1))
+    for page, match in find_in_pages(r"\]\(([^)#:]+)\)"):
+        assert (page.parent / match.group(1)).exists(), (page, match.group(1))
 
 
 @then("each examples/ path in README.md and docs/ passes its check")
 def step_examples(context):
-    paths = {found.group(0) for _, found in lines(r"examples/[\w/.-]+\.json")}
+    paths = {match.group(0) for _, match in find_in_pages(r"examples/[\w/.-]+\.json")}
     assert paths
     for path in paths:
         if "/vms/" in path:
--- a/tests/steps/front/callers_steps.py
+++ b/tests/steps/front/callers_steps.py
@@ -17,7 +17,7 @@
 CHAT = b'{"model":"small","messages":[{"role":"user","content":"hello prompt"}],"max_tokens":4}'
 HEAD = f"POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\nauthorization: Bearer {SECRET}\r\n"
 CHUNK = b"1000\r\n" + b"x" * 4096 + b"\r\n"
-RAW = {
+RAW_REQUESTS = {
     "not http": b"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\r\n\r\n",
     "two lengths": f"{HEAD}content-length: 5\r\ncontent-length: 6\r\n\r\nhello".encode(),
     "length and chunked": (
@@ -58,10 +58,10 @@
     headers = list(headers)
     if key:
         headers.append(("authorization", f"Bearer {key}"))
-    context.answer = httpcore.request(
+    context.response = httpcore.request(
         method, f"{context.rig.url}{path}", headers=headers, content=body
     )
-    return context.answer
+    return context.response
 
 
 def connect(context, source="127.0.0.1"):
@@ -72,7 +72,7 @@
 
 
 def read_all(sock):
-    """Read until the other end closes, or until it has answered and waits."""
+    """Read until the other end closes, or until a complete refusal or JSON response."""
     data = b""
     try:
         while part := sock.recv(65536):
@@ -85,7 +85,7 @@
 
 
 def error_of(context):
-    return msgspec.json.decode(context.answer.content)["error"]
+    return msgspec.json.decode(context.response.content)["error"]
 
 
 @when('the front gets "{method}" "{path}" with key "{key}" and body "{body}"')
@@ -101,7 +101,7 @@
     send(context, "POST", "/v1/chat/completions", body=CHAT)
 
 
-@when("the front gets a chat call without a limit")
+@when("the front gets a chat call without a token limit")
 def step_chat_no_limit(context):
     body = b'{"model":"small","messages":[{"role":"user","content":"hi"}]}'
     send(context, "POST", "/v1/chat/completions", body=body)
@@ -131,15 +131,15 @@
     send(context, "POST", "/v1/services/bookings/bookings", body=b"{}", headers=headers)
 
 
-@when('the front gets raw bytes "{what}"')
-def step_raw(context, what):
+@when('the front gets raw bytes "{name}"')
+def step_raw(context, name):
     sock = connect(context)
-    sock.sendall(RAW[what])
+    sock.sendall(RAW_REQUESTS[name])
     context.raw = read_all(sock)
 
 
-@when("the front gets the head of a chat call, with its body held back")
-def step_held_back(context):
+@when("the front gets the head of a chat call without its body")
+def step_head_only(context):
     sock = connect(context)
     sock.sendall(f"{HEAD}content-length: 100\r\nexpect: 100-continue\r\n\r\n".encode())
     context.raw = read_all(sock)
@@ -151,15 +151,15 @@
     context.call(eventually, lambda: len(context.rig.front._connection_limits.conns) == count)
 
 
-@when("a caller connects to the front and stays silent")
+@when("a caller connects to the front and sends nothing")
 def step_silent(context):
-    took = Stopwatch()
+    stopwatch = Stopwatch()
     context.raw = read_all(connect(context))
-    context.took_ms = took.elapsed_ms()
+    context.elapsed_ms = stopwatch.elapsed_ms()
 
 
 @when("{count:d} callers hold streams open at the front")
-def step_hold(context, count):
+def step_open_streams(context, count):
     body = CHAT.replace(b'"max_tokens":4', b'"max_tokens":900,"stream":true')
     for _ in range(count):
         sock = connect(context)
@@ -167,8 +167,8 @@
     context.call(eventually, lambda: len(context.rig.dispatch.calls) == count)
 
 
-@when("a caller of the front vanishes in mid-stream")
-def step_vanish(context):
+@when("a caller of the front disconnects in mid-stream")
+def step_disconnect(context):
     body = CHAT.replace(b'"max_tokens":4', b'"max_tokens":900,"stream":true')
     sock = connect(context)
     sock.sendall(f"{HEAD}content-length: {len(body)}\r\n\r\n".encode() + body)
@@ -176,7 +176,7 @@
     sock.close()
 
 
-@when("a caller of the front reads nothing of a large answer")
+@when("a caller of the front reads nothing of a large response")
 def step_no_read(context):
     sock = socket.socket()
     context.stack.callback(sock.close)
@@ -185,11 +185,11 @@
     path = "/v1/services/bookings/bytes?count=50000000"
     head = f"GET {path} HTTP/1.1\r\nhost: x\r\nauthorization: Bearer {SECRET}\r\n\r\n"
     sock.sendall(head.encode())
-    context.begun = time.monotonic()
+    context.started_s = time.monotonic()
 
 
-@given("the front rig's engine gives its first token late")
-def step_late(context):
+@given("the engine behind the front delays its first token")
+def step_delayed(context):
     context.rig.engine.app.faults.set(Fault(kind=FaultKind.LATE, ms=2_000))
 
 
@@ -203,8 +203,8 @@
     context.rig.config.set(*context.rig.objects(residency="missing"))
 
 
-@given("the front's key is withdrawn")
-def step_withdrawn(context):
+@given("the front's key is revoked")
+def step_revoked(context):
     kept = [obj for obj in context.rig.objects() if obj.name != key_digest(SECRET)]
     context.rig.config.set(*kept, deleted=[ObjectRef("keys", key_digest(SECRET))])
 
@@ -214,7 +214,7 @@
     context.rig.config.state = ConfigState()
 
 
-@given("the front learned nothing for {age:d} seconds and may serve for {limit:d}")
+@given("the front's configuration is {age:d} seconds old and its limit is {limit:d}")
 def step_stale(context, age, limit):
     context.rig.config.age_ms = lambda: age * 1000
     front_context = context.rig.front._context
@@ -223,11 +223,11 @@
     )
 
 
-@then('the front answers {status:d} with code "{code}" and ran "{ran}"')
+@then('the front responds with status {status:d}, code "{code}" and ran "{ran}"')
 def step_refusal(context, status, code, ran):
     error = error_of(context)
-    found = (context.answer.status, error["code"], error["ran"])
-    assert found == (status, code, ran), context.answer.content
+    actual = (context.response.status, error["code"], error["ran"])
+    assert actual == (status, code, ran), context.response.content
     assert set(error) >= {"message", "type", "param", "retry", "retry_after_ms", "entries"}
 
 
@@ -246,30 +246,30 @@
     assert error_of(context)["param"] == name
 
 
-@then("the front's answer has a request id")
+@then("the front's response has a request id")
 def step_request_id(context):
-    assert dict(context.answer.headers)[b"x-request-id"]
+    assert dict(context.response.headers)[b"x-request-id"]
 
 
-@then('the front\'s refusal names entries "{entries}"')
-@then('the front\'s refusal names entries ""')
+@then('the front\'s refusal lists entries "{entries}"')
+@then('the front\'s refusal lists entries ""')
 def step_entries(context, entries=""):
     assert error_of(context)["entries"] == entries.split(), error_of(context)
 
 
-@then('the front answers raw with status {status:d} and code "{code}"')
+@then('the raw response of the front has status {status:d} and code "{code}"')
 def step_raw_answer(context, status, code):
     assert context.raw.startswith(b"HTTP/1.1 %d " % status), context.raw[:300]
     error = msgspec.json.decode(context.raw.partition(b"\r\n\r\n")[2])["error"]
     assert (error["code"], error["ran"]) == (code, "no"), error
 
 
-@then('the front\'s raw answer names entry "{entry}"')
+@then('the raw response of the front lists entry "{entry}"')
 def step_raw_entry(context, entry):
     assert entry.encode() in context.raw
 
 
-@then('the front refuses one more with "{code}"')
+@then('the front refuses one more connection with "{code}"')
 def step_one_more(context, code):
     raw = read_all(connect(context))
     assert raw.startswith(b"HTTP/1.1 429 "), raw
@@ -292,7 +292,7 @@
     assert code.encode() in raw
 
 
-@then("the front's raw answer closes the connection")
+@then("the raw response of the front closes the connection")
 def step_raw_close(context):
     assert b"\r\nconnection: close\r\n" in context.raw, context.raw
 
@@ -300,20 +300,20 @@
 @then("the front closes the connection after {low:d} to {high:d} ms")
 def step_closed(context, low, high):
     assert context.raw == b"", context.raw
-    assert low <= context.took_ms <= high, context.took_ms
+    assert low <= context.elapsed_ms <= high, context.elapsed_ms
 
 
-@then("the plain service behind the front saw no key and no forged header")
-def step_saw(context):
-    assert context.answer.status == 200, context.answer.content
-    seen = context.rig.plain.app.headers[-1]
-    assert SECRET not in str(seen), seen
-    assert seen["x-account"] == "family"
-    assert seen["x-request-id"] == dict(context.answer.headers)[b"x-request-id"].decode()
-    assert not {"authorization", "cookie", "x-hickorybeam-hops", "x-copy-of-key"} & set(seen)
+@then("the plain service behind the front got no key and no forged header")
+def step_no_key_forwarded(context):
+    assert context.response.status == 200, context.response.content
+    headers = context.rig.plain.app.headers[-1]
+    assert SECRET not in str(headers), headers
+    assert headers["x-account"] == "family"
+    assert headers["x-request-id"] == dict(context.response.headers)[b"x-request-id"].decode()
+    assert not {"authorization", "cookie", "x-hickorybeam-hops", "x-copy-of-key"} & set(headers)
 
 
-@then("the call behind the front has a limit in its body and its cost")
+@then("the call behind the front has a token limit in its body and its cost")
 def step_limit(context):
     call = context.rig.dispatch.calls[-1]
     limit = msgspec.json.decode(call.body)["max_tokens"]
@@ -321,49 +321,49 @@
     assert call.cost == call.prompt_tokens + limit
 
 
-@then("the front's answer does not quote the prompt")
-def step_no_quote(context):
-    assert b"hello prompt" not in context.answer.content
+@then("the front's response does not quote the prompt")
+def step_does_not_quote(context):
+    assert b"hello prompt" not in context.response.content
 
 
-@then('the front lists entries of "{first}" before "{second}" and a validity')
+@then('the front lists entries of "{first}" before "{second}" with a validity')
 def step_listed(context, first, second):
-    listed = msgspec.json.decode(context.answer.content)
-    regions = [entry["region"] for entry in listed["entries"]]
-    assert regions == [first, first, second], listed
-    assert listed["valid_ms"] == 10_000
+    body = msgspec.json.decode(context.response.content)
+    regions = [entry["region"] for entry in body["entries"]]
+    assert regions == [first, first, second], body
+    assert body["valid_ms"] == 10_000
 
 
 @then("the front issued {count:d} idempotency keys")
 def step_issued(context, count):
-    assert len(msgspec.json.decode(context.answer.content)["keys"]) == count
+    assert len(msgspec.json.decode(context.response.content)["keys"]) == count
 
 
 @then('the idempotency service behind the front got key "{key}"')
-def step_used(context, key):
-    assert context.answer.status == 201, context.answer.content
+def step_idempotency_key(context, key):
+    assert context.response.status == 201, context.response.content
     assert context.rig.once.keys == [key]
 
 
-@then('the front answers {status:d} with field "{field}"')
+@then('the front responds with status {status:d} and field "{field}"')
 def step_field_answer(context, status, field):
-    assert context.answer.status == status, context.answer.content
-    assert field in msgspec.json.decode(context.answer.content)
+    assert context.response.status == status, context.response.content
+    assert field in msgspec.json.decode(context.response.content)
 
 
-@then("the front answers metrics")
+@then("the front responds with metrics")
 def step_metrics(context):
-    assert context.answer.status == 200
-    assert b"hickorybeam_caller_connections" in context.answer.content
+    assert context.response.status == 200
+    assert b"hickorybeam_caller_connections" in context.response.content
 
 
-@then("the engine behind the front was told to cancel")
+@then("the engine behind the front gets a cancel request")
 def step_cancel(context):
     context.call(eventually, lambda: context.rig.engine.app.batch.cancels)
 
 
-@then("the front drops it after {low:d} to {high:d} ms")
+@then("the front drops the connection after {low:d} to {high:d} ms")
 def step_dropped(context, low, high):
     context.call(eventually, lambda: context.rig.dispatch.closed)
-    took = (time.monotonic() - context.begun) * 1000
-    assert low <= took <= high, took
+    elapsed_ms = (time.monotonic() - context.started_s) * 1000
+    assert low <= elapsed_ms <= high, elapsed_ms
--- a/tests/steps/front/openai_steps.py
+++ b/tests/steps/front/openai_steps.py
@@ -38,39 +38,39 @@
     )
 
 
-def ask(context, kind, *, stream, retries=0, tokens=TOKENS):
-    """Ask as a user of the library would; collect the text, or the library's error."""
-    context.said, context.error, context.pieces = "", None, 0
+def request_completion(context, kind, *, stream, retries=0, tokens=TOKENS):
+    """Request a completion with the client library; collect its text, or the library's error."""
+    context.completion_text, context.error, context.chunk_count = "", None, 0
     with client(context, retries=retries) as api:
         try:
             if kind == "chat":
                 context.body = {"model": "small", "messages": MESSAGES, "max_tokens": tokens}
-                answer = api.chat.completions.create(**context.body, stream=stream)
+                response = api.chat.completions.create(**context.body, stream=stream)
             else:
                 context.body = {"model": "small", "prompt": "hello", "max_tokens": tokens}
-                answer = api.completions.create(**context.body, stream=stream)
-            for part in answer if stream else [answer]:
-                context.said += text_of(part, kind, stream)
-                context.pieces += 1
+                response = api.completions.create(**context.body, stream=stream)
+            for chunk in response if stream else [response]:
+                context.completion_text += chunk_text(chunk, kind, stream)
+                context.chunk_count += 1
         except openai.APIError as exc:
             context.error = exc
 
 
-def text_of(part, kind, stream):
-    choice = part.choices[0]
+def chunk_text(chunk, kind, stream):
+    choice = chunk.choices[0]
     if kind == "completion":
         return choice.text
     return choice.delta.content if stream else choice.message.content
 
 
-@when('an openai client at the front asks for "{kind}", streamed: {word}')
-def step_ask(context, kind, word):
-    ask(context, kind, stream=word == "yes")
+@when('an openai client at the front requests "{kind}", streamed: {streamed}')
+def step_request(context, kind, streamed):
+    request_completion(context, kind, stream=streamed == "yes")
 
 
-@when('an openai client at the front that retries asks for "{kind}"')
-def step_ask_retrying(context, kind):
-    ask(context, kind, stream=False, retries=2)
+@when('an openai client at the front that retries requests "{kind}"')
+def step_request_retrying(context, kind):
+    request_completion(context, kind, stream=False, retries=2)
 
 
 @when("an openai client at the front lists models")
@@ -82,14 +82,14 @@
 @when("an openai client at the front streams while the operator drains the VM")
 def step_drain(context):
     thread = threading.Thread(
-        target=ask, args=(context, "chat"), kwargs={"stream": True, "tokens": 400}
+        target=request_completion, args=(context, "chat"), kwargs={"stream": True, "tokens": 400}
     )
     thread.start()
     context.call(eventually, lambda: context.rig.dispatch.calls)
     headers = {"authorization": f"Bearer {OPERATOR}"}
-    answer = httpcore.request("POST", f"{context.rig.url}/v1/drain", headers=headers)
-    assert answer.status == 202, answer.content
-    context.call(eventually, lambda: context.rig.members.left)
+    response = httpcore.request("POST", f"{context.rig.url}/v1/drain", headers=headers)
+    assert response.status == 202, response.content
+    context.call(eventually, lambda: context.rig.members.leaving_announced)
     headers = {"authorization": f"Bearer {SECRET}"}
     context.refused = httpcore.request(
         "POST", f"{context.rig.url}/v1/chat/completions", headers=headers, content=b"{}"
@@ -99,15 +99,15 @@
 
 async def eventually(check, *, seconds=5):
     with anyio.fail_after(seconds):
-        while not (found := check()):
+        while not (result := check()):
             await anyio.sleep(0.005)
-    return found
+    return result
 
 
-@then("the openai client at the front got the whole answer")
-def step_whole(context):
+@then("the openai client at the front got the complete response")
+def step_complete(context):
     assert context.error is None, context.error
-    assert context.said == answer_text(context.body), context.said
+    assert context.completion_text == answer_text(context.body), context.completion_text
 
 
 @then('the openai client at the front got models "{names}"')
@@ -117,13 +117,13 @@
 
 @then('the openai client at the front got error "{name}" with code "{code}"')
 def step_error(context, name, code):
-    assert context.error is not None, context.said
+    assert context.error is not None, context.completion_text
     assert (type(context.error).__name__, context.error.code) == (name, code), context.error
 
 
 @then('the openai client at the front got {count:d} tokens and error "{name}" with code "{code}"')
 def step_broken(context, count, name, code):
-    assert context.pieces == count, context.pieces
+    assert context.chunk_count == count, context.chunk_count
     step_error(context, name, code)
 
 
@@ -133,7 +133,7 @@
     assert len(context.rig.dispatch.calls) == count, len(context.rig.dispatch.calls)
 
 
-@then('the front refused new work with "{code}" meanwhile')
+@then('the front refused new calls with "{code}" meanwhile')
 def step_refused(context, code):
     error = msgspec.json.decode(context.refused.content)["error"]
     assert (error["code"], error["ran"]) == (code, "no"), error
@@ -141,12 +141,12 @@
     assert dict(context.refused.headers)[b"connection"] == b"close"
 
 
-@then("the front left the directory and stopped")
+@then("the front announced that it leaves and stopped")
 def step_stopped(context):
-    assert context.rig.members.left
+    assert context.rig.members.leaving_announced
     context.call(eventually, context.rig.stopped.is_set)
 
 
-@given("dispatch behind the front has a fault that quotes the prompt")
-def step_inner_fault(context):
+@given("dispatch behind the front raises an error that quotes the prompt")
+def step_internal_error(context):
     context.rig.dispatch.refusal = RuntimeError("hello prompt")
--- a/tests/steps/front/rig.py
+++ b/tests/steps/front/rig.py
@@ -1,4 +1,4 @@
-"""A real front before real backends, with the services between them as small fakes."""
+"""The real front and backends services, with fakes of the services between them."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
 
 
 class FakeDispatch(Service):
-    """Sends each call to the only backend server that serves it, unless told to refuse."""
+    """Runs each call at its only backend server, or raises ``refusal`` if a test sets it."""
 
     name = DISPATCH
 
@@ -77,14 +77,14 @@
 
 
 class FakeMembers(Service):
-    """A fleet that a test sets."""
+    """A fleet of two VMs in region ``here`` and one in ``there``."""
 
     name = MEMBERS
 
     def __init__(self):
         self.me = vm("vm-1", "here", 8001)
         self.fleet = [self.me, vm("vm-2", "here", 8002), vm("vm-3", "there", 8003)]
-        self.left = False
+        self.leaving_announced = False
 
     def vms(self):
         return tuple(self.fleet)
@@ -108,11 +108,11 @@
         self.http_port = http_port
 
     def announce_leaving(self):
-        self.left = True
+        self.leaving_announced = True
 
 
 class FakeOnce(Service):
-    """Issues keys and runs what carries one."""
+    """Issues idempotency keys, and records the key of each call that it runs."""
 
     name = ONCE
 
@@ -142,8 +142,8 @@
 class Rig:
     """One VM of region ``here``, an engine and a plain service."""
 
-    def __init__(self, limits=FRONT_SETTINGS):
-        self.limits = limits
+    def __init__(self, settings=FRONT_SETTINGS):
+        self.settings = settings
         self.clock = SystemClock()
         self.counters = Counters()
 
@@ -155,7 +155,7 @@
         cfg = Settings(
             vm=VmSettings(name="vm-1", region="here", data_centre="dc"),
             platform=PlatformSettings(urls=()),
-            front=self.limits,
+            front=self.settings,
             backends=BackendSettings(first_byte_ms=400, between_ms=300),
         )
         common = {"cfg": cfg, "clock": self.clock, "counters": self.counters}
--- a/tests/steps/front/routes_steps.py
+++ b/tests/steps/front/routes_steps.py
@@ -11,8 +11,8 @@
     send(context, method, path, headers=[("host", host)])
 
 
-@when("the routes are taken back")
-def step_taken_back(context):
+@when("the routes are deleted")
+def step_deleted(context):
     config = context.rig.config
     kept = {
         ref: entry
@@ -32,11 +32,11 @@
     assert (call.served, call.path) == (service, path), call
 
 
-@then("the call may be repeated: {word}")
-def step_repeated(context, word):
-    assert last_call(context).idempotent == (word == "yes")
+@then("the call is idempotent: {expected}")
+def step_idempotent(context, expected):
+    assert last_call(context).idempotent == (expected == "yes")
 
 
-@then("the call has at most {ms:d} ms")
+@then("the call's deadline is {ms:d} ms")
 def step_deadline(context, ms):
     assert last_call(context).deadline_ms == ms, last_call(context).deadline_ms
--- a/tests/steps/loadgen/loadgen_steps.py
+++ b/tests/steps/loadgen/loadgen_steps.py
@@ -17,7 +17,7 @@
     context.plan = Plan(model="m", streams=tuple(streams), duration_ms=seconds * 1000)
 
 
-def of(plan, account):
+def arrivals_of(plan, account):
     return [item for item in arrivals(plan) if item.account == account]
 
 
@@ -26,19 +26,19 @@
     assert arrivals(context.plan) == arrivals(context.plan)
 
 
-@then('raising "{account}" to {rate:d} per second leaves the arrivals of "{other}" as they were')
-def step_raise(context, account, rate, other):
+@then('raising "{account}" to {rate:d} per second leaves the arrivals of "{other}" unchanged')
+def step_rate(context, account, rate, other):
     streams = tuple(
         replace(s, per_s=rate) if s.account == account else s for s in context.plan.streams
     )
     raised = replace(context.plan, streams=streams)
-    assert of(raised, other) == of(context.plan, other)
-    assert len(of(raised, account)) > len(of(context.plan, account))
+    assert arrivals_of(raised, other) == arrivals_of(context.plan, other)
+    assert len(arrivals_of(raised, account)) > len(arrivals_of(context.plan, account))
 
 
 @then('the arrivals of "{account}" are within {share:d}% of {count:d}')
 def step_count(context, account, share, count):
-    assert abs(len(of(context.plan, account)) - count) <= count * share / 100
+    assert abs(len(arrivals_of(context.plan, account)) - count) <= count * share / 100
 
 
 @given("load outcomes")
@@ -56,35 +56,35 @@
     ]
 
 
-def pairs(text):
+def parse_pairs(text):
     return dict(item.split("=") for item in text.split(", "))
 
 
 @when('the load report is made with homes "{homes}" and costs "{costs}"')
 def step_report(context, homes, costs):
-    prices = {name: float(value) for name, value in pairs(costs).items()}
-    context.report = make_report(context.outcomes, homes=pairs(homes), costs=prices)
+    prices = {name: float(value) for name, value in parse_pairs(costs).items()}
+    context.report = make_report(context.outcomes, homes=parse_pairs(homes), costs=prices)
 
 
-@then('the load report says worst served "{account}" at {share:g}')
+@then('the load report shows worst account "{account}" at {share:g}')
 def step_worst(context, account, share):
     worst = context.report.worst_account
     assert (worst.account, round(worst.answered_share, 3)) == (account, share), worst
 
 
-@then("the load report says elsewhere {share:g} and cost {cost:g}")
+@then("the load report shows elsewhere {share:g} and cost {cost:g}")
 def step_cost(context, share, cost):
     report = context.report
     assert (round(report.elsewhere, 3), round(report.cost, 4)) == (share, cost), report
 
 
-@then('the load report says account "{account}" was refused "{code}" {count:d} time')
+@then('the load report shows that account "{account}" was refused "{code}" {count:d} time')
 def step_refused(context, account, code, count):
     row = next(row for row in context.report.rows if row.account == account)
     assert row.refused == {code: count}, row
 
 
-@then('the load report says the first token of "{account}" at 95 in 100 took {ms:d} ms')
+@then('the load report shows that the first token of "{account}" at 95 in 100 took {ms:d} ms')
 def step_first(context, account, ms):
     row = next(row for row in context.report.rows if row.account == account)
     assert abs(row.first_p95 - ms) < 1, row
