--- a/src/hickorybeam/cli/exits.py
+++ b/src/hickorybeam/cli/exits.py
@@ -8,7 +8,7 @@
 
 
 class Exit(IntEnum):
-    """Exit codes for programs that call the command line; they stay the same."""
+    """Stable exit codes for programs that call the command line."""
 
     OK = 0
     REFUSED = 1
--- a/src/hickorybeam/cli/main.py
+++ b/src/hickorybeam/cli/main.py
@@ -101,7 +101,7 @@
         """Run a whole deployment in one process and print what happens.
 
         :param deployment: ``tour-de-terre`` or ``umoja``, or a folder with the same layout;
-            ``platform`` for the gateway with the platform's stand-ins.
+            ``platform`` for the gateway connected to the platform's stand-ins.
         :param keep: keep it running afterwards, until interrupted.
         """
         if deployment == PLATFORM_DEMO:
--- a/src/hickorybeam/front/bodies.py
+++ b/src/hickorybeam/front/bodies.py
@@ -1,4 +1,4 @@
-"""Parsing of the bodies of OpenAI-style calls."""
+"""Parsing of the bodies of OpenAI-style calls, and the token limit that is added to them."""
 
 from __future__ import annotations
 
--- a/src/hickorybeam/front/calls.py
+++ b/src/hickorybeam/front/calls.py
@@ -214,10 +214,10 @@
 
 def deadline_ms(context: FrontContext, req: Request) -> int:
     """Return the caller's deadline in ms from now, limited by the settings."""
-    longest = context.cfg.front.default_deadline_ms
+    max_ms = context.cfg.front.default_deadline_ms
     requested = req.header(DEADLINE_HEADER)
     if not requested:
-        return longest
+        return max_ms
     if not requested.isdecimal() or not int(requested):
         raise GatewayError(ErrorKind.BAD_REQUEST, "the deadline must be a number of milliseconds")
-    return min(longest, int(requested))
+    return min(max_ms, int(requested))
--- a/src/hickorybeam/front/context.py
+++ b/src/hickorybeam/front/context.py
@@ -85,8 +85,8 @@
         state = self.config.current()
         if not state.position:
             raise self.redirect_error(ErrorKind.NOT_READY)
-        stale_after = self.cfg.config.stale_after_ms
-        if stale_after and self.config.age_ms() > stale_after:
+        stale_after_ms = self.cfg.config.stale_after_ms
+        if stale_after_ms and self.config.age_ms() > stale_after_ms:
             # A key revoked since then would still be accepted; the setting bounds how long.
             raise self.redirect_error(ErrorKind.CONFIG_STALE)
         return identify(state, secret)
@@ -94,7 +94,7 @@
     def admit(self, req: Request) -> Identity:
         """Authenticate a call and check residency and draining, before its body is read.
 
-        :raises GatewayError: as ``identity``, or ``DRAINING``, ``RESIDENCY``,
+        :raises GatewayError: as ``authenticate``, or ``DRAINING``, ``RESIDENCY``,
             ``RESIDENCY_UNKNOWN`` or ``HOP_LIMIT``.
         """
         identity = self.authenticate(req)
--- a/src/hickorybeam/front/request.py
+++ b/src/hickorybeam/front/request.py
@@ -111,7 +111,7 @@
         await self._send({"type": "http.response.start", "status": status, "headers": headers})
 
     async def write_body(self, data: bytes, *, more: bool = True) -> None:
-        """Send a part of the body; wait while the caller's connection is full."""
+        """Send a part of the body; wait while the caller does not read."""
         await self._send({"type": "http.response.body", "body": data, "more_body": more})
 
     async def respond_json(
--- a/src/hickorybeam/loadgen/report.py
+++ b/src/hickorybeam/loadgen/report.py
@@ -145,7 +145,7 @@
         if times:
             axes.step(times, [(i + 1) / len(times) for i in range(len(times))], label=name)
     axes.set_xlabel("first token, ms")
-    axes.set_ylabel("share of answers")
+    axes.set_ylabel("share of responses")
     axes.legend()
     figure.savefig(path)
     plt.close(figure)
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -470,7 +470,7 @@
     Mutation(
         "a VM that learns nothing stops after its bound",
         "front/context.py",
-        "        if stale_after and self.config.age_ms() > stale_after:",
+        "        if stale_after_ms and self.config.age_ms() > stale_after_ms:",
         "        if False:",
         "front/outcomes.feature",
     ),
