--- a/src/hickorybeam/daemon.py
+++ b/src/hickorybeam/daemon.py
@@ -16,7 +16,7 @@
 from hickorybeam.dispatch import DispatchService
 from hickorybeam.front import FrontService
 from hickorybeam.kernel import Kernel
-from hickorybeam.once import OnceService
+from hickorybeam.once import IdempotencyService
 from hickorybeam.peers import MembersService, PeersService
 from hickorybeam.shares import BudgetService
 from hickorybeam.store.etcd import EtcdPlatform
@@ -60,7 +60,7 @@
             BudgetService,
             BackendsService,
             DispatchService,
-            OnceService,
+            IdempotencyService,
             FrontService,
         ):
             kernel.add(service(cfg=cfg, clock=clock, counters=counters))
@@ -68,9 +68,9 @@
             kernel.add(ControlService(cfg=cfg, clock=clock, counters=counters))
         return cls(kernel, counters)
 
-    def me(self) -> EntryVm:
+    def own_vm(self) -> EntryVm:
         """Return the record of this VM, with the ports that it actually listens on."""
-        return self.kernel.find(ports.MEMBERS, ports.Members).me  # type: ignore[type-abstract]
+        return self.kernel.find(ports.MEMBERS, ports.Members).own_vm  # type: ignore[type-abstract]
 
 
 async def run(cfg: Settings, *, ready: Callable[[EntryVm], None] | None = None) -> None:
@@ -81,7 +81,7 @@
     daemon = Daemon.build(cfg)
 
     def report_ready() -> None:
-        me = daemon.me()
+        me = daemon.own_vm()
         logging.info("entry VM %s serves callers at %s", me.id.name, me.http_address)
         if ready is not None:
             ready(me)
--- a/src/hickorybeam/front/context.py
+++ b/src/hickorybeam/front/context.py
@@ -134,7 +134,7 @@
         """Return addresses of other serving VMs, in any region if ``allowed_regions`` is None."""
         if self.members is None:
             return ()
-        own_vm = self.members.me
+        own_vm = self.members.own_vm
         vms = [vm for vm in self.members.vms() if vm.id != own_vm.id]
         regions = frozenset(vm.region for vm in vms) if allowed_regions is None else allowed_regions
         ranked_vms = self.order_entries(vms, regions, caller_key=own_vm.id.name)
@@ -160,7 +160,7 @@
         """Return the VMs that a caller should use, best first; this one unless it is draining."""
         if self.members is None or identity.allowed_regions is None:
             return ()
-        own_id = self.members.me.id
+        own_id = self.members.own_vm.id
         vms = [
             vm
             for vm in self.members.vms()
