--- a/src/hickorybeam/peers/changes.py
+++ b/src/hickorybeam/peers/changes.py
@@ -1,8 +1,8 @@
-"""What changed since a peer was last told: heartbeats carry only that.
+"""The log of changes, from which heartbeats send a peer only what it lacks.
 
-Whole state on every heartbeat would cost bytes in proportion to the fleet twice a second
+Whole state in every heartbeat would cost bytes in proportion to the fleet's size, twice a second
 from every VM. Each change of an item takes the next local sequence number; a peer that
-acknowledged a number is told what came after it, and never what it told us itself.
+acknowledged a number is sent what came after it, except the changes that came from itself.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoggedChange(Generic[T]):
-    """One item's latest value and the peer that told us, if any."""
+    """One item's latest value and the peer from which it came, if any."""
 
     seq: int
     value: T
@@ -31,20 +31,20 @@
 
 
 class ChangeLog(Generic[T]):
-    """The latest value of each item, ordered by when it changed here."""
+    """The latest value of each item, in the order in which they changed on this VM."""
 
     def __init__(self) -> None:
         self.seq = 0
         self._items: OrderedDict[Hashable, LoggedChange[T]] = OrderedDict()
 
     def put(self, key: Hashable, value: T, *, source: VmId | None = None) -> None:
-        """Note that an item changed."""
+        """Record an item's new value."""
         self.seq += 1
         self._items[key] = LoggedChange(self.seq, value, source)
         self._items.move_to_end(key)
 
-    def drop(self, key: Hashable) -> None:
-        """Forget an item without telling anyone."""
+    def remove(self, key: Hashable) -> None:
+        """Remove an item without recording a change."""
         self._items.pop(key, None)
 
     def get(self, key: Hashable) -> T | None:
@@ -53,7 +53,7 @@
         return None if found is None else found.value
 
     def since(self, seq: int, *, to: VmId | None = None) -> Iterator[T]:
-        """Yield what changed after a sequence number, latest first, but for ``to``'s own news."""
+        """Yield values changed after a sequence number, latest first, except those from ``to``."""
         for item in reversed(self._items.values()):
             if item.seq <= seq:
                 return
--- a/src/hickorybeam/peers/discovery.py
+++ b/src/hickorybeam/peers/discovery.py
@@ -1,4 +1,4 @@
-"""Finding VMs that the view does not have: by the platform's list and the seeds."""
+"""Finding VMs that the view lacks, by the platform's VM registry and the seeds."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
 
 
 def new_incarnation(wall_ms: int, *, after: str = "") -> str:
-    """Return an incarnation that sorts after those of earlier lives.
+    """Return an incarnation that sorts after earlier ones.
 
-    :param after: an incarnation of this VM's name that was seen; clocks of machines differ, and
-        a life that sorts before its predecessor would be taken for the dead one.
+    :param after: a known incarnation of this VM's name. The wall clocks of machines differ, and an
+        incarnation that sorts before its predecessor would lose against the dead one's record.
     """
     start = wall_ms
     if after:
@@ -36,9 +36,9 @@
 
 
 class Discovery:
-    """Asks addresses who listens there.
+    """Asks the addresses of unknown VMs which VM listens there.
 
-    :param seeds: ``host:port`` of VMs to try besides the list.
+    :param seeds: ``host:port`` of VMs to try besides those in the registry.
     """
 
     def __init__(
@@ -54,59 +54,61 @@
         self._registry = registry
         self._gossip = gossip
         self._partners = partners
-        self._seeds = tuple(map(_seed, seeds))
-        self._listed: tuple[EntryVm, ...] = ()
+        self._seeds = tuple(map(_seed_vm, seeds))
+        self._registered: tuple[EntryVm, ...] = ()
         self._random = random.Random(gossip.own_vm.id.name)
 
     async def read_registry(self) -> None:
-        """Read the platform's list, or keep the last one."""
+        """Read the registry, or keep the entries last read."""
         try:
-            self._listed = await self._registry.read()
+            self._registered = await self._registry.read()
         except GatewayError as exc:
-            logging.info("the list of VMs cannot be read: %s", exc.kind.value)
+            logging.info("VM registry not read, the entries last read are used: %s", exc.kind.value)
 
     async def find_peers(self, count: int) -> list[WhoReply]:
-        """Ask some VMs that the view lacks who they are, at once.
+        """Ask VMs that the view lacks who they are, concurrently.
 
-        :param count: how many to ask at most.
+        :param count: maximum number of VMs asked.
         """
-        here: list[WhoReply] = []
+        replies: list[WhoReply] = []
         async with anyio.create_task_group() as tg:
-            for vm in self._to_try(count):
-                tg.start_soon(self._who, vm, here)
-        return [answer for answer in here if answer.me.vm.id.name != self._gossip.own_vm.id.name]
+            for vm in self._candidates(count):
+                tg.start_soon(self._ask_who, vm, replies)
+        return [reply for reply in replies if reply.me.vm.id.name != self._gossip.own_vm.id.name]
 
-    def latest_own_incarnation(self, here: list[WhoReply]) -> str:
-        """Return the latest incarnation of this VM's name that the list or a peer knew."""
+    def latest_own_incarnation(self, replies: list[WhoReply]) -> str:
+        """Return the latest incarnation of this VM's name in the registry or known to a peer."""
         name = self._gossip.own_vm.id.name
-        known = [vm.id.incarnation for vm in self._listed if vm.id.name == name]
-        known += [answer.you.vm.id.incarnation for answer in here if answer.you is not None]
+        known = [vm.id.incarnation for vm in self._registered if vm.id.name == name]
+        known += [reply.you.vm.id.incarnation for reply in replies if reply.you is not None]
         return max(known, default="")
 
-    def _to_try(self, count: int) -> list[EntryVm]:
-        """Return VMs that are not in the view, own data centre first, then seeds."""
-        me = self._gossip.own_vm
+    def _candidates(self, count: int) -> list[EntryVm]:
+        """Return registered VMs that are not in the view, own data centre first, then seeds."""
+        own_vm = self._gossip.own_vm
         unknown = [
             vm
-            for vm in self._listed
-            if vm.id.name != me.id.name and not self._partners.is_live(vm.id.name)
+            for vm in self._registered
+            if vm.id.name != own_vm.id.name and not self._partners.is_live(vm.id.name)
         ]
         self._random.shuffle(unknown)
-        unknown.sort(key=lambda vm: vm.data_centre != me.data_centre)
+        unknown.sort(key=lambda vm: vm.data_centre != own_vm.data_centre)
         seeds = self._random.sample(self._seeds, len(self._seeds))
         half = count // 2
         return unknown[: count - min(half, len(seeds))] + seeds[: max(half, count - len(unknown))]
 
-    async def _who(self, vm: EntryVm, here: list[WhoReply]) -> None:
-        # Whoever listens there may answer: the list may still name an earlier life.
-        anyone = replace(vm, id=VmId(vm.id.name, ""))
+    async def _ask_who(self, vm: EntryVm, replies: list[WhoReply]) -> None:
+        # Any incarnation may reply: the registry may still hold an earlier one.
+        any_incarnation = replace(vm, id=VmId(vm.id.name, ""))
         try:
-            here.append(await self._peers.ask(anyone, WHO, WhoRequest(self._gossip.own_vm.id.name)))
+            replies.append(
+                await self._peers.ask(any_incarnation, WHO, WhoRequest(self._gossip.own_vm.id.name))
+            )
         except GatewayError:
             return
 
 
-def _seed(text: str) -> EntryVm:
+def _seed_vm(text: str) -> EntryVm:
     address = Address.parse(text)
     return EntryVm(
         id=VmId("", ""),
--- a/src/hickorybeam/peers/gossip.py
+++ b/src/hickorybeam/peers/gossip.py
@@ -1,8 +1,9 @@
-"""What heartbeats say and what is learned from them; no I/O and no clock reads.
+"""Gossip state: what heartbeats carry and how received ones are merged; no I/O, no clock reads.
 
-Two kinds of link: between VMs of one data centre, and between the delegates of two. Records
-of VMs and a VM's own notes travel on both. A region's forecasts leave it by its delegates and
-then spread inside the other data centres; contacts with other data centres spread inside one.
+VMs of one data centre exchange heartbeats, and so do the delegates of two data centres. Member
+records and a VM's own notes travel in both kinds. A region's load forecasts leave it through its
+delegates and then spread inside the other data centres; contacts with other data centres spread
+only inside a data centre.
 """
 
 from __future__ import annotations
@@ -26,9 +27,9 @@
 
 __all__ = ("GossipState", "Updates")
 
-# A forecast is told again when it moved by a fifth and more than the noise, or after a while;
-# and not more often than it can cross the other data centres, where each one that moves is
-# carried by every heartbeat.
+# A forecast is sent again once it changed by more than the fraction and, for waits, by more than
+# the noise, or after the longest interval. The shortest interval lets it first cross the other
+# data centres, where every heartbeat carries each changed forecast.
 MIN_LOAD_INTERVAL_MS = 2_000
 MIN_LOAD_CHANGE_FRACTION = 0.2
 MIN_WAIT_CHANGE_MS = 20.0
@@ -38,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Note:
-    """One of the VM's own notes; ``urgent`` ones do not wait for the next heartbeat."""
+    """A note published by a VM; an ``urgent`` one does not wait for the next heartbeat."""
 
     name: str
     data: bytes
@@ -47,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Contact:
-    """How often a data centre was heard from."""
+    """The number of messages received from another data centre."""
 
     data_centre: str
     count: int
@@ -55,14 +56,14 @@
 
 @dataclass(frozen=True, slots=True)
 class OwnForecast:
-    """A forecast of this VM's own region."""
+    """A load forecast of this VM's own region."""
 
     forecast: LoadForecast
 
 
 @dataclass(frozen=True, slots=True)
 class RemoteForecast:
-    """A forecast of another region and when it arrived here."""
+    """A load forecast of another region, and when it was received (monotonic time)."""
 
     forecast: LoadForecast
     at_ms: int
@@ -73,27 +74,32 @@
 
 @dataclass(slots=True)
 class SyncState:
-    """What two VMs have told each other, in the sequence numbers of each."""
+    """How far this VM and a peer have exchanged their updates.
 
-    have: int = 0
+    ``received_seq`` is the peer's sequence number up to which its updates were received,
+    ``acked_seq`` the own one up to which the peer acknowledged; ``synced`` is set by the first
+    reply.
+    """
+
+    received_seq: int = 0
     acked_seq: int = 0
     synced: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class Updates:
-    """What a heartbeat changed here."""
+    """What a received heartbeat changed in this VM's view."""
 
     members: tuple[MemberRecord, ...] = ()
     notes: tuple[Note, ...] = ()
 
 
 class GossipState:
-    """One VM's view, and what each peer has been told of it.
+    """One VM's view of the fleet, and how far each peer has received it.
 
-    :param own_vm: this VM.
-    :param now_ms: monotonic time.
-    :param wall_ms: wall time.
+    :param own_vm: record of this VM.
+    :param now_ms: monotonic time in ms.
+    :param wall_ms: wall time in ms.
     """
 
     def __init__(self, own_vm: EntryVm, *, now_ms: int, wall_ms: int) -> None:
@@ -102,44 +108,44 @@
         self.generation = 0
         self._changes: ChangeLog[Item] = ChangeLog()
         self._sync_states: dict[VmId, SyncState] = {}
-        self._contact_ms: dict[str, int] = {}
-        self._began_ms = now_ms
+        self._last_contact_ms: dict[str, int] = {}
+        self._started_ms = now_ms
         self._own_record = MemberRecord(vm=own_vm, at_ms=wall_ms)
-        self._take(self._own_record, None)
+        self._merge(self._own_record, None)
 
     @property
     def own_vm(self) -> EntryVm:
-        """This VM as it last announced itself."""
+        """The record of this VM as last announced."""
         return self._own_record.vm
 
     @property
     def own_record(self) -> MemberRecord:
-        """This VM's own record."""
+        """The member record of this VM."""
         return self._own_record
 
     def announce(self, own_vm: EntryVm, *, wall_ms: int, gone: bool = False) -> None:
-        """Change what is known of this VM."""
+        """Announce a changed record of this VM, at the next version."""
         version = self._own_record.version + 1
         self._own_record = MemberRecord(vm=own_vm, version=version, gone=gone, at_ms=wall_ms)
-        self._take(self._own_record, None)
+        self._merge(self._own_record, None)
 
     def add_peer(self, record: MemberRecord) -> None:
-        """Take in a VM that has just answered for itself."""
+        """Merge the record of a VM that has just replied with it."""
         if record.vm.id.name != self.own_vm.id.name:
-            self._take(record, None)
+            self._merge(record, None)
 
     def mark_silent(self, vm: VmId, *, wall_ms: int) -> bool:
         """Mark a VM as silent.
 
-        :return: whether that changed the view.
+        :return: whether this changed the view.
         """
         record = self.view.get(vm.name)
         if record is None or record.vm.id != vm or not record.live:
             return False
-        return self._take(mark_silent(record, wall_ms), None)
+        return self._merge(mark_silent(record, wall_ms), None)
 
     def publish(self, name: str, data: bytes, *, urgent: bool) -> bool:
-        """Set one of the VM's own notes.
+        """Set a note of this VM.
 
         :return: whether it changed.
         """
@@ -150,10 +156,10 @@
         return True
 
     def set_own_load(self, load: RegionLoad, *, wall_ms: int) -> None:
-        """Set a forecast of this VM's own region, if it moved or was told long ago."""
+        """Set a load forecast of the own region, if it changed or was last sent long ago."""
         key = ("own", load.region, load.served)
         known = self._changes.get(key)
-        if isinstance(known, OwnForecast) and not _moved(known.forecast, load, wall_ms):
+        if isinstance(known, OwnForecast) and not _should_send(known.forecast, load, wall_ms):
             return
         forecast = LoadForecast(
             load.region, load.served, round(load.wait_ms), round(load.free_tokens), wall_ms
@@ -161,7 +167,7 @@
         self._changes.put(key, OwnForecast(forecast))
 
     def region_loads(self, now_ms: int) -> tuple[RegionLoad, ...]:
-        """Return other regions' forecasts that are not too old to act on."""
+        """Return the load forecasts of other regions that are not too old to act on."""
         return tuple(
             RegionLoad(
                 region=item.forecast.region,
@@ -175,82 +181,88 @@
         )
 
     def record_data_centre_contact(self, data_centre: str, *, now_ms: int) -> None:
-        """Note that another data centre was heard from, here and not by hearsay."""
+        """Count a message that this VM itself received from another data centre."""
         key = ("contact", data_centre)
         known = self._changes.get(key)
         count = known.count + 1 if isinstance(known, Contact) else 1
         self._changes.put(key, Contact(data_centre, count))
-        self._contact_ms[data_centre] = now_ms
+        self._last_contact_ms[data_centre] = now_ms
 
     def ms_since_contact(self, data_centre: str, now_ms: int) -> int:
-        """Return for how long no VM of this data centre has heard from another one, in ms."""
-        return now_ms - self._contact_ms.get(data_centre, self._began_ms)
+        """Return the time since any VM here last received a message from a data centre, in ms."""
+        return now_ms - self._last_contact_ms.get(data_centre, self._started_ms)
 
     def exclude_pause(self, ms: int, now_ms: int) -> None:
-        """Leave out of all silences a time in which this VM could not hear anything."""
-        for name, last_seen_ms in self._contact_ms.items():
-            self._contact_ms[name] = min(now_ms, last_seen_ms + ms)
+        """Exclude a pause of this process from the time since data centres were last seen."""
+        for name, last_seen_ms in self._last_contact_ms.items():
+            self._last_contact_ms[name] = min(now_ms, last_seen_ms + ms)
 
     def has_urgent_updates(self, to: VmId) -> bool:
-        """Whether a peer has not been told something that should not wait."""
-        link = self._sync_states.get(to, SyncState())
+        """Return whether a peer has not acknowledged a changed record or an urgent note."""
+        sync = self._sync_states.get(to, SyncState())
         return any(
             isinstance(item, MemberRecord) or (isinstance(item, Note) and item.urgent)
-            for item in self._changes.since(link.acked_seq, to=to)
+            for item in self._changes.since(sync.acked_seq, to=to)
         )
 
     def next_heartbeat(self, to: EntryVm) -> Heartbeat:
         """Return the next heartbeat to a peer."""
-        link = self._sync_states.setdefault(to.id, SyncState())
-        told = link.acked_seq if link.synced else None
-        return self._message(to.id, to.data_centre, have=link.have, told=told)
+        sync = self._sync_states.setdefault(to.id, SyncState())
+        since_seq = sync.acked_seq if sync.synced else None
+        return self._build_heartbeat(
+            to.id, to.data_centre, received_seq=sync.received_seq, since_seq=since_seq
+        )
 
     def on_request(
-        self, sender: VmId, beat: Heartbeat, *, now_ms: int, wall_ms: int
+        self, sender: VmId, heartbeat: Heartbeat, *, now_ms: int, wall_ms: int
     ) -> tuple[Heartbeat, Updates]:
-        """Take in a peer's heartbeat and return the reply."""
-        updates = self._apply(sender, beat, now_ms=now_ms, wall_ms=wall_ms)
-        link = self._sync_states.setdefault(sender, SyncState())
-        same = beat.digest == self.view.digest
-        if beat.whole or same:
-            link.have = max(link.have, beat.seq)
-        link.acked_seq = beat.have
-        told = None if beat.have == 0 and same else beat.have
-        reply = self._message(sender, beat.data_centre, have=link.have, told=told)
+        """Merge a peer's heartbeat and return the reply."""
+        updates = self._apply(sender, heartbeat, now_ms=now_ms, wall_ms=wall_ms)
+        sync = self._sync_states.setdefault(sender, SyncState())
+        same = heartbeat.digest == self.view.digest
+        if heartbeat.whole or same:
+            sync.received_seq = max(sync.received_seq, heartbeat.seq)
+        sync.acked_seq = heartbeat.have
+        since_seq = None if heartbeat.have == 0 and same else heartbeat.have
+        reply = self._build_heartbeat(
+            sender, heartbeat.data_centre, received_seq=sync.received_seq, since_seq=since_seq
+        )
         return replace(reply, same=same), updates
 
     def on_reply(
         self, to: VmId, request: Heartbeat, reply: Heartbeat, *, now_ms: int, wall_ms: int
     ) -> Updates:
-        """Take in the reply to a heartbeat."""
+        """Merge the reply to a heartbeat."""
         updates = self._apply(to, reply, now_ms=now_ms, wall_ms=wall_ms)
-        link = self._sync_states.setdefault(to, SyncState())
-        link.have = max(link.have, reply.seq)
-        if link.synced or reply.same:
-            link.acked_seq = request.seq
-        link.synced = True
+        sync = self._sync_states.setdefault(to, SyncState())
+        sync.received_seq = max(sync.received_seq, reply.seq)
+        if sync.synced or reply.same:
+            sync.acked_seq = request.seq
+        sync.synced = True
         return updates
 
     def prune(self, wall_ms: int) -> None:
-        """Forget VMs long departed, and the links to all that are not alive."""
+        """Remove VMs that departed long ago, and the sync state of all that are not live."""
         for name in self.view.remove_departed(wall_ms):
-            self._changes.drop(("member", name))
+            self._changes.remove(("member", name))
         for vm in tuple(self._sync_states):
             record = self.view.get(vm.name)
             if record is None or record.vm.id != vm or not record.live:
                 del self._sync_states[vm]
 
-    def _message(self, to: VmId, data_centre: str, *, have: int, told: int | None) -> Heartbeat:
-        # On a first meeting the views are most often equal: only what says who I am goes out.
+    def _build_heartbeat(
+        self, to: VmId, data_centre: str, *, received_seq: int, since_seq: int | None
+    ) -> Heartbeat:
+        # Views are usually equal at the first exchange, so of all records only the own one is sent.
         local = data_centre == self.own_vm.data_centre
         members: list[MemberRecord] = []
         notes: dict[str, bytes] = {}
         loads: list[LoadForecast] = []
         contacts: dict[str, int] = {}
-        for item in self._changes.since(told or 0, to=to):
+        for item in self._changes.since(since_seq or 0, to=to):
             match item:
                 case MemberRecord():
-                    if told is not None or item is self._own_record:
+                    if since_seq is not None or item is self._own_record:
                         members.append(item)
                 case Note(name, data):
                     notes[name] = data
@@ -261,58 +273,60 @@
                 case Contact(name, count) if local:
                     contacts[name] = count
         return Heartbeat(
-            have=have,
+            have=received_seq,
             seq=self._changes.seq,
             digest=self.view.digest,
             data_centre=self.own_vm.data_centre,
-            whole=told is not None,
+            whole=since_seq is not None,
             members=tuple(members),
             notes=notes,
             loads=tuple(loads),
             contacts=contacts,
         )
 
-    def _apply(self, sender: VmId, beat: Heartbeat, *, now_ms: int, wall_ms: int) -> Updates:
-        members = tuple(record for record in beat.members if self._learn(record, sender, wall_ms))
-        for load in beat.loads:
-            self._learn_load(load, sender, now_ms)
-        for data_centre, count in beat.contacts.items():
-            self._learn_contact(data_centre, count, sender, now_ms)
-        if beat.data_centre != self.own_vm.data_centre:
-            self.record_data_centre_contact(beat.data_centre, now_ms=now_ms)
-        # Two heartbeats of a peer, one of them a reply, can overtake each other: an older one
-        # must not put an older note in place of a newer.
-        if beat.seq <= self._sync_states.setdefault(sender, SyncState()).have:
+    def _apply(self, sender: VmId, heartbeat: Heartbeat, *, now_ms: int, wall_ms: int) -> Updates:
+        members = tuple(
+            record for record in heartbeat.members if self._merge_received(record, sender, wall_ms)
+        )
+        for load in heartbeat.loads:
+            self._merge_load(load, sender, now_ms)
+        for data_centre, count in heartbeat.contacts.items():
+            self._merge_contact(data_centre, count, sender, now_ms)
+        if heartbeat.data_centre != self.own_vm.data_centre:
+            self.record_data_centre_contact(heartbeat.data_centre, now_ms=now_ms)
+        # Two heartbeats of a peer, one of them a reply, can overtake each other: the older one must
+        # not replace a newer note.
+        if heartbeat.seq <= self._sync_states.setdefault(sender, SyncState()).received_seq:
             return Updates(members)
-        return Updates(members, tuple(Note(name, data) for name, data in beat.notes.items()))
+        return Updates(members, tuple(Note(name, data) for name, data in heartbeat.notes.items()))
 
-    def _learn(self, record: MemberRecord, source: VmId, wall_ms: int) -> bool:
+    def _merge_received(self, record: MemberRecord, source: VmId, wall_ms: int) -> bool:
         if record.vm.id.name == self.own_vm.id.name:
-            return self._hear_of_myself(record, source, wall_ms)
+            return self._merge_own(record, source, wall_ms)
         if not record.live and wall_ms - record.at_ms > DEPARTED_RETENTION_MS:
             return False
-        return self._take(record, source)
+        return self._merge(record, source)
 
-    def _hear_of_myself(self, record: MemberRecord, source: VmId, wall_ms: int) -> bool:
+    def _merge_own(self, record: MemberRecord, source: VmId, wall_ms: int) -> bool:
         own_record = self._own_record
         if record.vm.id.incarnation > own_record.vm.id.incarnation:
-            # A later process has this VM's name: this one was paused or cut off while it was
-            # replaced. It must not fight for the name; it only takes the news in.
+            # A later process has this VM's name: this one was replaced while it was paused or cut
+            # off. It must not contend for the name, and only merges the record.
             self.superseded = True
-            return self._take(record, source)
+            return self._merge(record, source)
         if record.vm.id == own_record.vm.id and not own_record.gone and not record.live:
             self._own_record = refute(own_record, record, wall_ms)
-            return self._take(self._own_record, None)
+            return self._merge(self._own_record, None)
         return False
 
-    def _take(self, record: MemberRecord, source: VmId | None) -> bool:
+    def _merge(self, record: MemberRecord, source: VmId | None) -> bool:
         if not self.view.merge(record):
             return False
         self._changes.put(("member", record.vm.id.name), record, source=source)
         self.generation += 1
         return True
 
-    def _learn_load(self, forecast: LoadForecast, source: VmId, now_ms: int) -> None:
+    def _merge_load(self, forecast: LoadForecast, source: VmId, now_ms: int) -> None:
         if forecast.region == self.own_vm.region:
             return
         key = ("load", forecast.region, forecast.served)
@@ -321,22 +335,24 @@
             return
         self._changes.put(key, RemoteForecast(forecast, now_ms), source=source)
 
-    def _learn_contact(self, data_centre: str, count: int, source: VmId, now_ms: int) -> None:
+    def _merge_contact(self, data_centre: str, count: int, source: VmId, now_ms: int) -> None:
         key = ("contact", data_centre)
         known = self._changes.get(key)
         if isinstance(known, Contact) and known.count >= count:
             return
         self._changes.put(key, Contact(data_centre, count), source=source)
-        self._contact_ms[data_centre] = now_ms
+        self._last_contact_ms[data_centre] = now_ms
 
 
-def _moved(told: LoadForecast, load: RegionLoad, wall_ms: int) -> bool:
-    age_ms = wall_ms - told.stamp
+def _should_send(last_sent: LoadForecast, load: RegionLoad, wall_ms: int) -> bool:
+    age_ms = wall_ms - last_sent.stamp
     if age_ms < MIN_LOAD_INTERVAL_MS or age_ms >= MAX_LOAD_INTERVAL_MS:
         return age_ms >= MAX_LOAD_INTERVAL_MS
-    wait_step = max(MIN_WAIT_CHANGE_MS, MIN_LOAD_CHANGE_FRACTION * max(told.wait_ms, load.wait_ms))
-    free_step = MIN_LOAD_CHANGE_FRACTION * max(told.free_tokens, load.free_tokens, 1.0)
+    wait_step = max(
+        MIN_WAIT_CHANGE_MS, MIN_LOAD_CHANGE_FRACTION * max(last_sent.wait_ms, load.wait_ms)
+    )
+    free_step = MIN_LOAD_CHANGE_FRACTION * max(last_sent.free_tokens, load.free_tokens, 1.0)
     return (
-        abs(told.wait_ms - load.wait_ms) > wait_step
-        or abs(told.free_tokens - load.free_tokens) > free_step
+        abs(last_sent.wait_ms - load.wait_ms) > wait_step
+        or abs(last_sent.free_tokens - load.free_tokens) > free_step
     )
--- a/src/hickorybeam/peers/registry.py
+++ b/src/hickorybeam/peers/registry.py
@@ -1,7 +1,7 @@
-"""The platform's list of VMs: this VM's entry under its lease, and reading the others'.
+"""The platform's VM registry: keeps this VM's entry under its lease and reads all entries.
 
-The list lags and may be wrong, and the platform has outages. It therefore only says whom to
-try: nobody is believed alive because the list says so, or dead because it does not.
+The registry lags and may be wrong, and the platform has outages. Its entries are therefore only
+hints about which VMs to contact: an entry makes no VM live, and a missing one makes none dead.
 """
 
 from __future__ import annotations
@@ -25,15 +25,15 @@
 __all__ = ("VM_PREFIX", "Registry")
 
 VM_PREFIX = "vms/"
-# Three renewals fit into a lease, so that one lost answer does not end it.
+# One lost reply does not let the lease expire.
 RENEWALS_PER_LEASE = 3
 
 
 class Registry:
-    """Keeps one VM's entry in the platform.
+    """Maintains this VM's entry in the registry and reads the registry.
 
-    :param own_vm: returns the VM as it is to be listed now.
-    :param lease_ms: how long the entry outlives its VM.
+    :param own_vm: returns the current record of this VM.
+    :param lease_ms: time after which the entry of a VM that died expires.
     """
 
     def __init__(
@@ -44,15 +44,15 @@
         self._clock = clock
         self._own_vm = own_vm
         self._lease_ms = lease_ms
-        self._listed: EntryVm | None = None
+        self._written: EntryVm | None = None
         self._changed = anyio.Event()
 
     def mark_changed(self) -> None:
-        """Write the entry again soon."""
+        """Have the changed entry written without waiting for the next renewal."""
         self._changed.set()
 
     async def run(self) -> None:
-        """Renew the lease and the entry until cancelled, whatever the platform does."""
+        """Renew the lease and the entry until cancelled; errors of the platform are retried."""
         while True:
             try:
                 await self._renew()
@@ -61,38 +61,38 @@
                     self.lease = None
             self._changed = anyio.Event()
             async with anyio.create_task_group() as tg:
-                tg.start_soon(self._wait, tg.cancel_scope)
+                tg.start_soon(self._cancel_at_renewal, tg.cancel_scope)
                 await self._changed.wait()
                 tg.cancel_scope.cancel()
 
     async def read(self) -> tuple[EntryVm, ...]:
-        """Read the list; entries that cannot be read are left out."""
+        """Return the VMs in the registry; entries that cannot be decoded are left out."""
         found = await self._platform.read_prefix(VM_PREFIX)
-        return tuple(vm for item in found.items if (vm := _read(item.value)) is not None)
+        return tuple(vm for item in found.items if (vm := _decode(item.value)) is not None)
 
     async def deregister(self) -> None:
-        """Take the entry off the list."""
+        """Remove the entry by revoking its lease."""
         if self.lease is not None:
             await self._platform.revoke(self.lease)
 
-    async def _wait(self, scope: anyio.CancelScope) -> None:
+    async def _cancel_at_renewal(self, scope: anyio.CancelScope) -> None:
         await self._clock.sleep(self._lease_ms / RENEWALS_PER_LEASE)
         scope.cancel()
 
     async def _renew(self) -> None:
         if self.lease is None:
             self.lease = await self._platform.grant(self._lease_ms)
-            self._listed = None
+            self._written = None
         else:
             await self._platform.keep_alive(self.lease)
         own_vm = self._own_vm()
-        if self._listed != own_vm:
+        if self._written != own_vm:
             entry = Put(VM_PREFIX + own_vm.id.name, pack(own_vm), self.lease)
             await self._platform.txn((), (entry,))
-            self._listed = own_vm
+            self._written = own_vm
 
 
-def _read(value: bytes) -> EntryVm | None:
+def _decode(value: bytes) -> EntryVm | None:
     try:
         return unpack(EntryVm, value)
     except msgspec.DecodeError:
--- a/src/hickorybeam/peers/ring.py
+++ b/src/hickorybeam/peers/ring.py
@@ -1,12 +1,13 @@
-"""Whom a VM talks to, worked out by each VM from its own view, with no election.
+"""The heartbeat topology, derived by each VM from its own view with no election.
 
-Inside a data centre the VMs form a ring, and each one heartbeats its successor and the VMs
-2, 4, 8... places on. That bounds connections and messages by the logarithm of the data
-centre's size, where a mesh grows with it, and news crosses the ring in as many steps. The
-ring is ordered by a hash of the names, since neighbours by name tend to share a rack.
+Inside a data centre the VMs form a ring, and each one sends heartbeats to its successor and to
+the VMs 2, 4, 8... places on, like the finger table of Chord. This bounds connections and messages
+by the logarithm of the data centre's size, where a mesh grows with the size, and updates cross the
+ring in as many hops. The ring is ordered by a hash of the names, since neighbours by name tend to
+share a rack.
 
-Between data centres one VM of each speaks for all: its delegate for that pair, the first by
-a hash of pair and name, so that the pairs' duties fall on different VMs.
+Between two data centres one VM of each, the delegate for that pair, exchanges heartbeats for all.
+It is the first by a hash of pair and name, so that the delegates of the pairs are different VMs.
 """
 
 from __future__ import annotations
@@ -20,35 +21,35 @@
 __all__ = ("delegate_order", "heartbeat_partners", "ring_order")
 
 
-def _place(*parts: str) -> bytes:
+def _hash(*parts: str) -> bytes:
     return hashlib.blake2b("\0".join(parts).encode(), digest_size=8).digest()
 
 
 def ring_order(names: Iterable[str]) -> tuple[str, ...]:
     """Return names in their order on the ring."""
-    return tuple(sorted(names, key=_place))
+    return tuple(sorted(names, key=_hash))
 
 
-def heartbeat_partners(me: str, names: Iterable[str]) -> tuple[str, ...]:
-    """Return the VMs that I heartbeat: my successor first, then 2, 4, 8... places on.
+def heartbeat_partners(name: str, names: Iterable[str]) -> tuple[str, ...]:
+    """Return the heartbeat partners of a VM: its successor, then the VMs 2, 4, 8... places on.
 
-    :param names: VMs of my data centre, with or without me.
+    :param names: VMs of its data centre, with or without itself.
     """
-    ring = ring_order({*names, me})
-    here = ring.index(me)
-    chosen: list[str] = []
+    ring = ring_order({*names, name})
+    index = ring.index(name)
+    partners: list[str] = []
     step = 1
     while step < len(ring):
-        chosen.append(ring[(here + step) % len(ring)])
+        partners.append(ring[(index + step) % len(ring)])
         step *= 2
-    return tuple(chosen)
+    return tuple(partners)
 
 
 def delegate_order(names: Iterable[str], *, of: str, towards: str) -> tuple[str, ...]:
-    """Return VMs in the order in which they speak for a data centre towards another one.
+    """Return the VMs of a data centre in their order as its delegate towards another one.
 
-    The first is the delegate; each next one takes over when those before it bring no news.
+    The first is the delegate; each next one takes over when those before receive no messages.
 
     :param names: VMs of the data centre ``of``.
     """
-    return tuple(sorted(names, key=lambda name: _place(of, towards, name)))
+    return tuple(sorted(names, key=lambda name: _hash(of, towards, name)))
--- a/src/hickorybeam/peers/suspicion.py
+++ b/src/hickorybeam/peers/suspicion.py
@@ -1,9 +1,9 @@
-"""When a peer that does not answer counts as failed.
+"""Decides when a peer that does not reply counts as failed.
 
 One unanswered heartbeat proves nothing: the peer may be paused for a moment, or the link
-between just these two may be down. A refused connection shows that no process listens there.
-Either way other VMs are asked before anyone is accused, and a VM that nobody answers takes
-itself for the one that is cut off and accuses no one.
+between just these two VMs may be down. A refused connection shows that no process listens there.
+Either way, witnesses are asked before the peer is marked as silent. A VM to which no witness
+replies may be cut off itself, so it marks no one.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class Verdict(Enum):
-    """What to make of a peer that does not answer."""
+    """The result of asking witnesses about a peer that does not reply."""
 
     SILENT = "silent"
     REACHED_BY_OTHERS = "reached_by_others"
@@ -28,25 +28,25 @@
 
 @dataclass(slots=True)
 class PeerContact:
-    """What one VM knows of its contact with a peer; times are ms of its own clock."""
+    """When this VM last received a message from a peer, by its own clock, and failures since."""
 
     last_seen_ms: int
     failures: int = 0
 
     def record_contact(self, now_ms: int) -> None:
-        """Note a sign of life."""
+        """Record a message received from the peer."""
         self.last_seen_ms = now_ms
         self.failures = 0
 
     def exclude_pause(self, ms: int, now_ms: int) -> None:
-        """Leave out a time in which this VM could not hear anything."""
+        """Exclude a pause of this process from the time since the peer was last seen."""
         self.last_seen_ms = min(now_ms, self.last_seen_ms + ms)
 
     def record_failure(self, now_ms: int, *, refused: bool, silent_after_ms: int) -> bool:
-        """Note an unanswered heartbeat.
+        """Record an unanswered heartbeat.
 
-        :param refused: the peer's machine answered that nothing listens there.
-        :return: whether it is time to ask others.
+        :param refused: the peer's machine replied that the process is not there.
+        :return: whether witnesses are to be asked now.
         """
         self.failures += 1
         return refused or now_ms - self.last_seen_ms >= silent_after_ms
@@ -55,10 +55,10 @@
 def verdict_from(reached: Iterable[bool | None]) -> Verdict:
     """Return the verdict on a suspect.
 
-    :param reached: for each VM asked, whether it reached the suspect; ``None`` when it did
-        not answer us at all.
+    :param reached: for each witness, whether it reached the suspect; ``None`` if the witness did
+        not reply.
     """
-    answers = [answer for answer in reached if answer is not None]
-    if any(answers):
+    replies = [reply for reply in reached if reply is not None]
+    if any(replies):
         return Verdict.REACHED_BY_OTHERS
-    return Verdict.SILENT if answers else Verdict.UNCONFIRMED
+    return Verdict.SILENT if replies else Verdict.UNCONFIRMED
--- a/src/hickorybeam/peers/view.py
+++ b/src/hickorybeam/peers/view.py
@@ -1,13 +1,13 @@
-"""Who is in the fleet, as a view that VMs merge: the order of news never matters.
+"""One VM's view of the fleet: member records that merge to the same view in any order.
 
 There is one record for each VM name, and two records of one name always have a winner, so
 that merging is commutative, associative and idempotent. The winner is, in this order: the
-later incarnation, the record that says the VM left, the higher version, the accusation of
-silence. Only the VM itself raises its version: that is how one that was only cut off for a
-while refutes the accusation, and why no third party's old news can bring it back.
+later incarnation, the record that says the VM left, the higher version, the one marked as
+silent. Only the VM itself raises its version: this is how a VM that was cut off for a while
+refutes the mark, and why an outdated record from a third VM cannot bring it back.
 
-Without the incarnation in front, news of the process that crashed would hide the one that
-was started in its place, or bring it back after it was replaced.
+Without the incarnation first, records of a crashed process would hide the one started in its
+place, or bring the old one back after it was replaced.
 """
 
 from __future__ import annotations
@@ -25,18 +25,18 @@
 
 __all__ = ("DEPARTED_RETENTION_MS", "MemberRecord", "MembershipView", "winning_record")
 
-# Records of VMs that left or fell silent are kept this long by the wall clock, longer than
-# regions lose each other (an hour now and then): old news of a departed VM that comes out of
-# a healed partition still meets its tombstone. 73 replacements a day leave about ten.
+# How long records of VMs that left or fell silent are kept as tombstones, by the wall clock. It
+# exceeds the partitions between regions (an hour now and then), so that an outdated record of a
+# departed VM from a healed partition still loses. 73 replacements a day leave about ten tombstones.
 DEPARTED_RETENTION_MS = 3 * 3_600_000
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class MemberRecord:
-    """One VM as the fleet knows it.
+    """The state of one VM in the view.
 
-    ``version`` is raised by the VM itself only. ``silent`` is an accusation by others at this
-    version; ``gone`` is the VM's own last word. ``at_ms`` is the wall time of the change.
+    ``version`` is raised by the VM itself only. ``silent`` is set by others at this version,
+    ``gone`` by the VM itself when it leaves. ``at_ms`` is the wall time of the change.
     """
 
     vm: EntryVm
@@ -47,12 +47,12 @@
 
     @property
     def live(self) -> bool:
-        """Whether the VM is believed to run."""
+        """Whether the VM is neither silent nor gone."""
         return not (self.silent or self.gone)
 
 
-def _rank(record: MemberRecord) -> tuple[str, bool, int, bool, int, bytes]:
-    # The last two only make a winner of records that no correct VM lets differ.
+def _precedence(record: MemberRecord) -> tuple[str, bool, int, bool, int, bytes]:
+    # The last two break ties between records that correct VMs never let differ.
     return (
         record.vm.id.incarnation,
         record.gone,
@@ -67,11 +67,11 @@
     """Return the winner of two records of one VM name."""
     if one is other or one == other:
         return one
-    return one if _rank(one) > _rank(other) else other
+    return one if _precedence(one) > _precedence(other) else other
 
 
 class MembershipView:
-    """The records of one VM's view."""
+    """The member records known to one VM, one for each VM name."""
 
     def __init__(self) -> None:
         self._records: dict[str, MemberRecord] = {}
@@ -85,7 +85,7 @@
 
     @property
     def digest(self) -> int:
-        """A fingerprint of all records but the departed, equal for equal views."""
+        """Digest of all records except those of VMs that left; equal for equal views."""
         return self._digest
 
     def get(self, name: str) -> MemberRecord | None:
@@ -93,7 +93,7 @@
         return self._records.get(name)
 
     def merge(self, record: MemberRecord) -> bool:
-        """Take a record in.
+        """Merge a record.
 
         :return: whether it changed the view.
         """
@@ -102,32 +102,32 @@
         if known is not None and winning_record(known, record) is known:
             return False
         self._records[name] = record
-        self._digest ^= _fingerprint(record) ^ (_fingerprint(known) if known else 0)
+        self._digest ^= _digest_of(record) ^ (_digest_of(known) if known else 0)
         return True
 
     def remove_departed(self, wall_ms: int) -> tuple[str, ...]:
-        """Drop records of VMs long departed and return their names."""
-        old = tuple(
+        """Remove the records of VMs that departed long ago, and return their names."""
+        expired = tuple(
             name
             for name, record in self._records.items()
             if not record.live and wall_ms - record.at_ms > DEPARTED_RETENTION_MS
         )
-        for name in old:
-            self._digest ^= _fingerprint(self._records.pop(name))
-        return old
+        for name in expired:
+            self._digest ^= _digest_of(self._records.pop(name))
+        return expired
 
 
 def mark_silent(record: MemberRecord, wall_ms: int) -> MemberRecord:
-    """Return the record as that of a VM which fell silent."""
+    """Return the record marked as silent."""
     return replace(record, silent=True, at_ms=wall_ms)
 
 
-def refute(own_record: MemberRecord, heard: MemberRecord, wall_ms: int) -> MemberRecord:
-    """Return my record at a version that wins over what others say of me."""
-    return replace(own_record, version=max(own_record.version, heard.version) + 1, at_ms=wall_ms)
+def refute(own_record: MemberRecord, received: MemberRecord, wall_ms: int) -> MemberRecord:
+    """Return the own record at a version that wins over a received record of this VM."""
+    return replace(own_record, version=max(own_record.version, received.version) + 1, at_ms=wall_ms)
 
 
-def _fingerprint(record: MemberRecord) -> int:
+def _digest_of(record: MemberRecord) -> int:
     if record.gone:
         return 0
     return int.from_bytes(hashlib.blake2b(pack(record), digest_size=8).digest())
--- a/tests/steps/peers/membership_steps.py
+++ b/tests/steps/peers/membership_steps.py
@@ -118,10 +118,10 @@
     async def run():
         sender = context.fleet.members[name]
         receiver = context.fleet.members[other]
-        link = receiver.members._gossip._sync_states[sender.id]
+        sync = receiver.members._gossip._sync_states[sender.id]
         beat = Heartbeat(
             have=0,
-            seq=link.have + 1,
+            seq=sync.received_seq + 1,
             digest=0,
             data_centre=sender.cfg.vm.data_centre,
             whole=False,
