--- a/src/hickorybeam/peers/__init__.py
+++ b/src/hickorybeam/peers/__init__.py
@@ -1,4 +1,4 @@
-"""Entry VMs among themselves: typed requests, forwarded calls, membership."""
+"""Communication between entry VMs: typed requests, forwarded calls, membership."""
 
 from __future__ import annotations
 
--- a/src/hickorybeam/peers/admission.py
+++ b/src/hickorybeam/peers/admission.py
@@ -1,7 +1,7 @@
-"""What a receiver checks again before it runs a forwarded call.
+"""Checks that a receiver repeats before it runs a forwarded call.
 
-The sender decided on its own view, which may be older or newer than ours, or wrong. Each check
-here refuses as not run, so that the sender may try elsewhere.
+The sender decided by its own configuration, which may be older or newer than the receiver's, or
+wrong. Each check refuses the call as not run, so that the sender may try elsewhere.
 """
 
 from __future__ import annotations
@@ -18,10 +18,10 @@
 
 
 def check_addressee(to: VmId, own_id: VmId) -> None:
-    """Refuse what was meant for an earlier process at this address, or for another VM.
+    """Refuse a message for an earlier process at this address, or for another VM.
 
-    A VM restarted at the same address has none of the old one's memory: a call bound to the
-    old incarnation by its idempotency key would run a second time here.
+    A VM restarted at the same address has lost its in-memory state: a call bound to the old
+    incarnation by its idempotency key would run a second time.
     """
     if to.incarnation and to != own_id:
         raise GatewayError(
@@ -32,7 +32,7 @@
 
 
 def check_call(call: Call, state: ConfigState, region: str) -> None:
-    """Check key, account and residency against our own state for our own region."""
+    """Check key, account and residency against this VM's configuration, for its region."""
     if state.is_withdrawn(call.key_digest):
         raise GatewayError(ErrorKind.KEY_WITHDRAWN, ran=Ran.NO)
     account = state.accounts.get(call.account)
@@ -46,9 +46,9 @@
 
 
 def mark_hop(call: Call) -> Call:
-    """Return the call as one that was forwarded once, whatever its sender said.
+    """Return the call marked as forwarded once, whatever mark its sender set.
 
-    The mark is set where the call comes in and never taken from it: a sender that forgot it,
-    or a forged one, cannot make two VMs pass a call to and fro.
+    The receiver sets the mark and never trusts the one received: a missing or forged mark cannot
+    make two VMs forward a call back and forth.
     """
     return replace(call, hops=1)
--- a/src/hickorybeam/peers/authority.py
+++ b/src/hickorybeam/peers/authority.py
@@ -1,6 +1,6 @@
-"""A development authority and certificates for entry VMs.
+"""A development certificate authority, and certificates for entry VMs.
 
-Operators with an authority of their own use that and put the same URIs into its certificates.
+Operators with their own authority use that one and put the same URIs into its certificates.
 """
 
 from __future__ import annotations
@@ -26,13 +26,13 @@
 FLEET_NAME = "fleet"
 AUTHORITY_DAYS = 3650
 CERTIFICATE_DAYS = 365
-# Clocks of machines differ; a certificate made just now must hold on all of them.
+# The clocks of machines differ; a new certificate must be valid on all of them.
 BACKDATED = datetime.timedelta(minutes=5)
-PRIVATE = 0o600
+PRIVATE_FILE_MODE = 0o600
 
 
 class IssuedCertificate:
-    """The files of one certificate."""
+    """Paths of a certificate and its private key."""
 
     def __init__(self, folder: Path, name: str) -> None:
         self.cert_file = folder / f"{name}.crt"
@@ -40,9 +40,10 @@
 
 
 def make_authority(folder: Path, *, wall_ms: int) -> IssuedCertificate:
-    """Write a new authority's certificate and key.
+    """Create an authority and write its certificate and key.
 
-    Raises ``SETTINGS_INVALID`` when there is one: a second would split the fleet.
+    Raises ``SETTINGS_INVALID`` if there is one already: VMs with certificates of two authorities
+    would refuse each other.
     """
     issued = IssuedCertificate(folder, AUTHORITY_NAME)
     if issued.key_file.exists():
@@ -65,8 +66,8 @@
 ) -> IssuedCertificate:
     """Write a certificate signed by the authority in the same folder.
 
-    :param vm: the VM it names; empty for the whole fleet.
-    :param days: how long it holds; a negative number makes an expired one.
+    :param vm: name of the VM for which it is; empty for the whole fleet.
+    :param days: validity in days; a negative number makes an expired certificate.
     """
     authority = IssuedCertificate(folder, AUTHORITY_NAME)
     try:
@@ -78,13 +79,13 @@
         raise GatewayError(ErrorKind.SETTINGS_INVALID, "the authority's key is not ours")
     key = ec.generate_private_key(ec.SECP256R1())
     uri = vm_uri(vm) if vm else FLEET_URI
-    both_ends = [ExtendedKeyUsageOID.SERVER_AUTH, ExtendedKeyUsageOID.CLIENT_AUTH]
+    client_and_server = [ExtendedKeyUsageOID.SERVER_AUTH, ExtendedKeyUsageOID.CLIENT_AUTH]
     issuer_key = x509.AuthorityKeyIdentifier.from_issuer_public_key(ca_key.public_key())
     builder = (
         _builder(_name(vm or FLEET_NAME), ca_cert.subject, key.public_key(), wall_ms, days)
         .add_extension(x509.BasicConstraints(ca=False, path_length=None), critical=True)
         .add_extension(_usage(signs_certificates=False), critical=True)
-        .add_extension(x509.ExtendedKeyUsage(both_ends), critical=False)
+        .add_extension(x509.ExtendedKeyUsage(client_and_server), critical=False)
         .add_extension(
             x509.SubjectAlternativeName([x509.UniformResourceIdentifier(uri)]), critical=False
         )
@@ -142,7 +143,7 @@
         serialization.PrivateFormat.PKCS8,
         serialization.NoEncryption(),
     )
-    descriptor = os.open(issued.key_file, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, PRIVATE)
+    descriptor = os.open(issued.key_file, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, PRIVATE_FILE_MODE)
     with os.fdopen(descriptor, "wb") as file:
         file.write(private)
     issued.cert_file.write_bytes(cert.public_bytes(serialization.Encoding.PEM))
--- a/src/hickorybeam/peers/client.py
+++ b/src/hickorybeam/peers/client.py
@@ -1,7 +1,7 @@
-"""Calls to peers over one channel: what is sent, what comes back, and what a failure means.
+"""Client side of calls to peers, and what a failure says about whether the call ran.
 
-A failure before the request's body went out means that nothing ran. After that the peer may
-have acted, and only its own word says otherwise.
+A failure before the request's body was sent means that nothing ran. After that the call may have
+run, unless the peer's reply says otherwise.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 
 __all__ = ("TRANSPORT_ERRORS", "PeerClient")
 
-# grpclib reports a connection that ends inside a message by an assertion.
+# grpclib raises ``AssertionError`` when a connection ends inside a message.
 TRANSPORT_ERRORS = (
     OSError,
     GRPCError,
@@ -54,27 +54,27 @@
 
 
 class CallProgress:
-    """How far one call got; ``sent`` from the moment its body may have reached the peer."""
+    """The state of one call; ``sent`` is set once its body may have reached the peer."""
 
-    __slots__ = ("answered", "received_before", "sent")
+    __slots__ = ("received_before", "response_started", "sent")
 
     def __init__(self, channel: PeerChannel) -> None:
         self.sent = False
-        self.answered = False
+        self.response_started = False
         self.received_before = channel.received_bytes()
 
     @property
     def ran(self) -> Ran:
-        """What a failure now says about the work."""
+        """Whether the call may have run if it fails now."""
         return Ran.UNKNOWN if self.sent else Ran.NO
 
 
 class PeerClient:
-    """Sends calls through the links and turns every failure into a ``GatewayError``.
+    """Sends calls over the connection pool and maps every failure to a ``GatewayError``.
 
-    :param connect_timeout_ms: how long a forwarded call may take to get a connection; it has
-        no timeout of its own after that, since an answer may stream for long.
-    :param authenticate: whether peers must show a certificate that names them.
+    :param connect_timeout_ms: timeout for connecting a forwarded call; it has no other timeout,
+        since a response may stream for long.
+    :param authenticate: whether peers must present a certificate that names them.
     """
 
     def __init__(
@@ -87,14 +87,14 @@
     async def ask(self, address: Address, request: AskRequest, *, timeout_ms: int) -> bytes:
         """Send one request and return the reply's body.
 
-        :param timeout_ms: for the whole call, connecting included.
+        :param timeout_ms: timeout of the whole call, including the time to connect.
         """
         with (
             self._connections.channel(address) as channel,
-            self._failures(address, channel) as progress,
+            self._map_failures(address, channel) as progress,
         ):
-            # grpclib's own timeout would put a header on the wire whose value differs each time
-            # and pushes the constant ones out of the compression table.
+            # grpclib's own timeout would send a header whose value differs each time, which evicts
+            # the constant ones from the compression table.
             call = channel.request(ASK_METHOD, Cardinality.UNARY_UNARY, AskRequest, AskReply)
             with anyio.fail_after(timeout_ms / MS_PER_SECOND):
                 async with call as stream:
@@ -110,25 +110,25 @@
     async def ask_on_shared_stream(
         self, address: Address, request: AskRequest, *, timeout_ms: int
     ) -> bytes:
-        """Send one request on the long-lived stream and return the reply's body."""
-        talk = self._connections.shared_stream(address)
-        heard = talk.heard
+        """Send one request on the shared stream and return the reply's body."""
+        shared = self._connections.shared_stream(address)
+        received_before = shared.received_replies
         sent = False
         with _absorb_cancellations():
             try:
                 with anyio.fail_after(timeout_ms / MS_PER_SECOND):
-                    stream = await talk.open()
+                    stream = await shared.open()
                     self._check_peer(stream, request.to)
                     sent = True
-                    reply = await talk.ask(stream, request)
+                    reply = await shared.ask(stream, request)
             except GatewayError:
                 raise
             except ssl.SSLCertVerificationError as exc:
                 raise GatewayError(ErrorKind.PEER_REFUSED, str(address), ran=Ran.NO) from exc
             except TRANSPORT_ERRORS as exc:
-                # A stream on which nothing came in meanwhile is never used again.
-                if talk.heard == heard:
-                    talk.end()
+                # A stream on which no reply arrived meanwhile is never used again.
+                if shared.received_replies == received_before:
+                    shared.close()
                 ran = Ran.UNKNOWN if sent else Ran.NO
                 raise _unreachable(address, type(exc).__name__, ran) from exc
         return _body(reply)
@@ -136,11 +136,11 @@
     async def forward(
         self, address: Address, request: ForwardRequest
     ) -> AsyncGenerator[ResponsePart, None]:
-        """Send a call and yield the answer's parts; closing the iterator cancels it there."""
+        """Send a call and yield the response's parts; closing the iterator cancels the call."""
         ended = False
         with (
             self._connections.channel(address) as channel,
-            self._failures(address, channel) as progress,
+            self._map_failures(address, channel) as progress,
         ):
             call = channel.request(
                 FORWARD_METHOD, Cardinality.UNARY_STREAM, ForwardRequest, ResponseParts
@@ -152,8 +152,8 @@
                 progress.sent = True
                 await stream.send_message(request, end=True)
                 async for parts in stream:
-                    progress.answered = True
-                    for part in _in_order(parts):
+                    progress.response_started = True
+                    for part in _in_stream_order(parts):
                         ended = isinstance(part, ResponseEnd)
                         yield part
                     if parts.error is not None:
@@ -161,18 +161,18 @@
                     if ended:
                         break
         if not ended:
-            # The peer's process can end a stream in good form without the answer's end, for
-            # example when its handler dies; the caller would take half an answer for whole.
+            # A peer can end a stream cleanly without the response's end part, for example when its
+            # handler dies; the caller would take a partial response for a whole one.
             raise GatewayError(ErrorKind.STREAM_BROKEN, "the peer's stream has no end marker")
 
     def _check_peer(self, stream: Any, to: VmId) -> None:
-        # Before the body goes out: a peer of the same authority may still be another VM, and
-        # a call's content is for the VM that was chosen.
+        # Called before the body is sent: a peer of the same authority may still be another VM, and
+        # only the chosen VM may see a call's content.
         if self._authenticate:
             check_certificate(stream.peer.cert(), to.name)
 
     @contextmanager
-    def _failures(self, address: Address, channel: PeerChannel) -> Iterator[CallProgress]:
+    def _map_failures(self, address: Address, channel: PeerChannel) -> Iterator[CallProgress]:
         progress = CallProgress(channel)
         with _absorb_cancellations():
             try:
@@ -186,7 +186,7 @@
                     self._connections.retire(address, channel)
                 raise _unreachable(address, "timeout", progress.ran) from exc
             except TRANSPORT_ERRORS as exc:
-                if progress.answered:
+                if progress.response_started:
                     raise GatewayError(ErrorKind.STREAM_BROKEN, str(address)) from exc
                 raise _unreachable(address, type(exc).__name__, progress.ran) from exc
 
@@ -197,7 +197,7 @@
     return reply.body
 
 
-def _in_order(parts: ResponseParts) -> Iterator[ResponsePart]:
+def _in_stream_order(parts: ResponseParts) -> Iterator[ResponsePart]:
     if parts.head is not None:
         yield parts.head
     yield from parts.chunks
@@ -211,11 +211,11 @@
 
 @contextmanager
 def _absorb_cancellations() -> Iterator[None]:
-    """Take back the task cancellations by which grpclib wakes a call that has failed.
+    """Undo the task cancellations by which grpclib wakes a call that has failed.
 
-    It cancels the task, swallows the cancellation and raises its own error, but leaves the
-    task's count of cancellations raised; an outer timeout or task group would later read
-    that as a cancellation of its own and end the service without an error.
+    grpclib cancels the task, swallows the cancellation and raises its own error, but the task's
+    count of cancellations stays raised. An outer timeout or task group would later take it for a
+    cancellation of its own and end the service without an error.
     """
     task = asyncio.current_task()
     before = task.cancelling() if task is not None else 0
--- a/src/hickorybeam/peers/codec.py
+++ b/src/hickorybeam/peers/codec.py
@@ -1,4 +1,4 @@
-"""MessagePack over the frozen data classes, as grpclib's codec and for values kept elsewhere."""
+"""MessagePack encoding of frozen data classes, for stored values and as grpclib's codec."""
 
 from __future__ import annotations
 
@@ -21,21 +21,21 @@
 
 
 def pack(value: object) -> bytes:
-    """Encode a data class; fields travel by name, so that a newer VM may add some."""
+    """Encode a data class, with fields by name so that a newer VM may add some."""
     return _encoder.encode(value)
 
 
 def unpack(cls: type[T], data: bytes) -> T:
-    """Decode a data class; fields this version does not know are ignored.
+    """Decode a data class; fields unknown to this version are ignored.
 
-    Raises ``msgspec.ValidationError`` or ``msgspec.DecodeError`` on anything else.
+    Raises ``msgspec.ValidationError`` or ``msgspec.DecodeError`` if the data does not fit.
     """
     value: T = _decoder(cls).decode(data)  # type: ignore[arg-type]
     return value
 
 
 class MessagePackCodec(CodecBase):  # type: ignore[misc]
-    """What grpclib calls for each message."""
+    """The codec that grpclib applies to each message."""
 
     __content_subtype__ = "msgpack"
 
--- a/src/hickorybeam/peers/connections.py
+++ b/src/hickorybeam/peers/connections.py
@@ -1,8 +1,8 @@
-"""Connections to peers: few HTTP/2 channels for each address, replaced after silence.
+"""Pool of connections to peers: a few HTTP/2 channels for each address, replaced after silence.
 
-A TCP connection can go silent for good while a new one works, because something between the
-two ends has lost track of it. Keep-alive pings find that while calls are open, a call's own
-timeout finds it at once, and the channel is then never used again.
+A TCP connection can go silent for good while a new one works, because a device between the two
+ends has lost its state. Keep-alive pings detect this while calls are open, and so does a call's own
+timeout; the channel is then never used again.
 """
 
 from __future__ import annotations
@@ -28,27 +28,28 @@
 
 __all__ = ("AbortableProtocol", "Address", "ConnectionPool", "PeerChannel", "with_pings")
 
-# Longer than a VM's round of its heartbeat partners; a VM that joins meets others in passing.
-IDLE_MS = 20_000
-# h2 announces at most 100 streams for a connection; the calls beyond take another channel,
-# since grpclib would let them wait without a word.
+# Longer than a VM takes to send heartbeats to all its partners; connections made only to join a
+# fleet expire.
+IDLE_TIMEOUT_MS = 20_000
+# h2 announces at most 100 streams for a connection. Calls beyond take another channel, since
+# grpclib would queue them silently.
 MAX_CALLS_PER_CHANNEL = 90
-# A peer's stream holds at most this much unread; all streams of a channel together fit into
-# the connection's window, so that readers who stall cannot stop the other streams.
+# Unread data of one stream. The connection's window holds the data of all streams of a channel, so
+# that a stalled reader cannot stop the other streams.
 STREAM_WINDOW_BYTES = 65_535
 CONNECTION_WINDOW_BYTES = 100 * STREAM_WINDOW_BYTES
 
 
 @dataclass(frozen=True, slots=True)
 class Address:
-    """Where a peer listens."""
+    """Host and port on which a peer listens."""
 
     host: str
     port: int
 
     @classmethod
     def parse(cls, text: str) -> Address:
-        """Read ``host:port``."""
+        """Parse ``host:port``."""
         host, _, port = text.rpartition(":")
         return cls(host.strip("[]"), int(port))
 
@@ -57,7 +58,7 @@
 
 
 def without_pings() -> Configuration:
-    """Return grpclib's settings with no pings, where every call has a timeout of its own."""
+    """Return grpclib's configuration with no pings, for calls that all have their own timeout."""
     return Configuration(
         http2_connection_window_size=CONNECTION_WINDOW_BYTES,
         http2_stream_window_size=STREAM_WINDOW_BYTES,
@@ -65,7 +66,11 @@
 
 
 def with_pings(silent_after_ms: int) -> Configuration:
-    """Return grpclib's settings: a ping at half the time, closed when unanswered as long."""
+    """Return grpclib's configuration with keep-alive pings.
+
+    A ping is sent after half of ``silent_after_ms`` and the connection closed when it stays
+    unanswered for the other half.
+    """
     half_s = silent_after_ms / 2 / MS_PER_SECOND
     return Configuration(
         _keepalive_time=half_s,
@@ -78,27 +83,27 @@
 
 
 class AbortableProtocol(H2Protocol):  # type: ignore[misc]
-    """grpclib's protocol, which after an unanswered ping also ends with bytes still unsent.
+    """grpclib's protocol that can abort a connection whose close hangs on unsent bytes.
 
-    The library closes the transport, and asyncio then waits for its buffer to be sent, which
-    on a silent connection never happens: the calls on it would hang.
+    After an unanswered ping, grpclib closes the transport, and asyncio waits for its buffer to be
+    sent. On a silent connection this never happens, and the calls on it would hang.
     """
 
     transport: BaseTransport | None = None
 
     def connection_made(self, transport: BaseTransport) -> None:
-        """Keep the transport, which the library lets go of on close."""
+        """Keep the transport, which grpclib drops on close."""
         self.transport = transport
         super().connection_made(transport)
 
     def abort_if_closing(self) -> None:
-        """End a connection at once whose close is still under way."""
+        """Abort the connection if its close has not finished."""
         if self.transport is not None and self.transport.is_closing():
             self.transport.abort()  # type: ignore[attr-defined]
 
 
 class PeerChannel(Channel):  # type: ignore[misc]
-    """One HTTP/2 connection to a peer, with the calls that are open on it."""
+    """One HTTP/2 connection to a peer, with the number of calls open on it."""
 
     def __init__(self, address: Address, *, tls: ssl.SSLContext | None, cfg: Configuration):
         super().__init__(address.host, address.port, codec=MessagePackCodec(), ssl=tls, config=cfg)
@@ -107,40 +112,40 @@
         self.last_used = 0
 
     def _protocol_factory(self) -> AbortableProtocol:
-        plain: Any = super()._protocol_factory()
-        return AbortableProtocol(plain.handler, plain.config, plain.h2_config)
+        base: Any = super()._protocol_factory()
+        return AbortableProtocol(base.handler, base.config, base.h2_config)
 
     def received_bytes(self) -> int:
-        """Return how much message data ever came in on the present connection."""
+        """Return the message data received on the present connection, in bytes."""
         return 0 if self._protocol is None else int(self._protocol.connection.data_received)
 
     def abort(self) -> None:
-        """Close the connection without waiting for unsent bytes, which may never leave."""
+        """Close the connection without waiting for unsent bytes, which may never be sent."""
         protocol = self._protocol
         self.close()
         if isinstance(protocol, AbortableProtocol):
             protocol.abort_if_closing()
 
     def abort_if_closing(self) -> None:
-        """End the connection if its close hangs."""
+        """Abort the connection if its close has not finished."""
         if isinstance(self._protocol, AbortableProtocol):
             self._protocol.abort_if_closing()
 
 
 @dataclass(slots=True)
 class PooledStream:
-    """A conversation and when it was last used."""
+    """A shared stream, and the time of its last use in ms."""
 
-    shared_stream: SharedStream
+    stream: SharedStream
     last_used: int = 0
 
 
 class ConnectionPool:
-    """All channels of this VM, by address.
+    """All channels and shared streams of this VM to peers, by address.
 
     :param tls: context for connections to peers; ``None`` for plain connections.
-    :param silent_after_ms: how long a connection with open calls may stay silent.
-    :param start: starts the task of a new conversation.
+    :param silent_after_ms: time after which a silent connection with open calls is closed.
+    :param start: starts the task of a new shared stream.
     """
 
     def __init__(
@@ -164,61 +169,61 @@
     @contextmanager
     def channel(self, address: Address) -> Iterator[PeerChannel]:
         """Lend a channel for one call."""
-        chosen = self._usable(address)
-        chosen.open_calls += 1
+        channel = self._channel_with_capacity(address)
+        channel.open_calls += 1
         try:
-            yield chosen
+            yield channel
         finally:
-            chosen.open_calls -= 1
-            chosen.last_used = self._clock.now()
-            if chosen.retired and not chosen.open_calls:
-                chosen.abort()
+            channel.open_calls -= 1
+            channel.last_used = self._clock.now()
+            if channel.retired and not channel.open_calls:
+                channel.abort()
 
     def shared_stream(self, address: Address) -> SharedStream:
-        """Return the conversation with a peer, begun if there is none."""
+        """Return the shared stream to a peer, opening it if there is none."""
         found = self._streams.get(address)
-        if found is None or found.shared_stream.ended:
+        if found is None or found.stream.closed:
             channel = PeerChannel(address, tls=self._tls, cfg=without_pings())
             found = self._streams[address] = PooledStream(SharedStream(channel))
-            self._start(found.shared_stream)
+            self._start(found.stream)
         found.last_used = self._clock.now()
-        return found.shared_stream
+        return found.stream
 
     def retire(self, address: Address, channel: PeerChannel) -> None:
-        """Give no new call to a channel that fell silent; open ones are left to the pings."""
+        """Use a silent channel for no new call; pings decide on the open ones."""
         channel.retired = True
         channels = self._channels.get(address, [])
         if channel in channels:
             channels.remove(channel)
 
     def sweep(self) -> None:
-        """Close what is idle and end what hangs while closing; called now and then."""
+        """Close idle channels and streams, abort those whose close hangs; called periodically."""
         now = self._clock.now()
         for address, channels in list(self._channels.items()):
             for channel in list(channels):
                 channel.abort_if_closing()
-                if not channel.open_calls and now - channel.last_used > IDLE_MS:
+                if not channel.open_calls and now - channel.last_used > IDLE_TIMEOUT_MS:
                     channels.remove(channel)
                     channel.close()
             if not channels:
                 del self._channels[address]
-        for address, spoken in list(self._streams.items()):
-            if spoken.shared_stream.idle and now - spoken.last_used > IDLE_MS:
-                spoken.shared_stream.end()
-            if spoken.shared_stream.ended:
+        for address, pooled in list(self._streams.items()):
+            if pooled.stream.idle and now - pooled.last_used > IDLE_TIMEOUT_MS:
+                pooled.stream.close()
+            if pooled.stream.closed:
                 del self._streams[address]
 
     def close(self) -> None:
-        """Close every channel."""
+        """Close every channel and shared stream."""
         for channels in self._channels.values():
             for channel in channels:
                 channel.close()
         self._channels.clear()
-        for spoken in self._streams.values():
-            spoken.shared_stream.end()
+        for pooled in self._streams.values():
+            pooled.stream.close()
         self._streams.clear()
 
-    def _usable(self, address: Address) -> PeerChannel:
+    def _channel_with_capacity(self, address: Address) -> PeerChannel:
         channels = self._channels.setdefault(address, [])
         for channel in channels:
             if channel.open_calls < MAX_CALLS_PER_CHANNEL:
--- a/src/hickorybeam/peers/heartbeat.py
+++ b/src/hickorybeam/peers/heartbeat.py
@@ -1,4 +1,4 @@
-"""The messages of membership; field names are short, since they travel with every heartbeat."""
+"""The messages of membership; field names are short, since every heartbeat carries them."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
 
 
 class LoadForecast(msgspec.Struct, frozen=True, array_like=True):
-    """What one region forecasts for one model or service.
+    """One region's load forecast for one model or service.
 
-    ``stamp`` is the wall time at the VM that made it; the later one wins. It travels as a bare
-    list and in whole numbers: at 32 models of two regions the field names alone would take
-    more than a node's 14 KB a second.
+    ``stamp`` is the wall time at the VM that made it; the later one wins. It is encoded as an array
+    of whole numbers: at 32 models in two regions the field names alone would exceed a VM's 14 KB a
+    second.
     """
 
     region: str
@@ -41,15 +41,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Heartbeat:
-    """Both request and reply: what the other side has not been told yet.
-
-    ``have`` is the other side's sequence number up to which the sender knows its news, and
-    ``seq`` the sender's own when it wrote this. Two VMs that meet for the first time compare
-    ``digest``, the fingerprint of the sender's view, before they send each other all of it:
-    such a message is not ``whole``, and a reply says in ``same`` that the views are equal.
-    ``data_centre`` is the sender's. ``members`` are records, ``notes`` the sender's own notes,
-    ``loads`` forecasts of regions, ``contacts`` how often its data centre has heard from each
-    other one.
+    """The updates that the receiver lacks; used as request and as reply.
+
+    ``have`` is the receiver's sequence number up to which the sender has its updates, ``seq`` the
+    sender's own when it sent this. In their first exchange two VMs compare ``digest``, the digest
+    of the sender's view, before they send each other their whole views: such a message is not
+    ``whole``, and a reply sets ``same`` if the views are equal. ``data_centre`` is the sender's.
+    ``members`` are records, ``notes`` the sender's own notes, ``loads`` forecasts of regions,
+    ``contacts`` how many messages the sender's data centre has received from each other one.
     """
 
     have: int
@@ -66,14 +65,17 @@
 
 @dataclass(frozen=True, slots=True)
 class WhoRequest:
-    """Asks who listens at an address, before the asker has settled its own incarnation."""
+    """Asks which VM listens at an address.
+
+    Only the sender's ``name`` is given, since its incarnation may not be set yet.
+    """
 
     name: str
 
 
 @dataclass(frozen=True, slots=True)
 class WhoReply:
-    """Who listens, and what it knows of the asker's name."""
+    """The record of the VM that listens, and the one that it has for the requester's name."""
 
     me: MemberRecord
     you: MemberRecord | None = None
@@ -81,14 +83,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ProbeRequest:
-    """Asks a peer to try a suspect."""
+    """Asks a witness to contact a suspect."""
 
     suspect: EntryVm
 
 
 @dataclass(frozen=True, slots=True)
 class ProbeReply:
-    """Whether the suspect answered."""
+    """Whether the suspect replied to the witness, or was seen by it recently."""
 
     reached: bool
 
--- a/src/hickorybeam/peers/server.py
+++ b/src/hickorybeam/peers/server.py
@@ -1,4 +1,4 @@
-"""The listening side: grpclib calls in, handlers of the service out."""
+"""Server side of calls from peers: a grpclib server that passes them to the peers service."""
 
 from __future__ import annotations
 
@@ -32,40 +32,40 @@
 
 __all__ = ("PeerServer", "RequestHandler")
 
-# As many as HTTP/2 streams of a connection would admit.
+# Requests of one shared stream; a connection admits as many HTTP/2 streams.
 MAX_CONCURRENT_REQUESTS = 100
 
-# What sending raises once the other end has gone.
+# Exceptions raised by a send after the peer closed the stream.
 PEER_CLOSED_ERRORS = (h2.exceptions.ProtocolError, StreamTerminatedError)
 
-# The library logs a line for every call that its sender cancelled, which is daily business.
+# grpclib logs a line for every call that its sender cancelled, which is routine.
 logging.getLogger("grpclib.server").setLevel(logging.WARNING)
 
 
 class RequestHandler(Protocol):
-    """What answers the calls; errors are part of its answers."""
+    """Handles requests of peers; errors are part of its replies and are never raised."""
 
     async def on_ask(self, ask: AskRequest, certificate: dict[str, Any] | None) -> AskReply:
-        """Answer one request."""
+        """Handle one typed request."""
         ...
 
     def on_forward(
         self, forward: ForwardRequest, certificate: dict[str, Any] | None
     ) -> AsyncGenerator[ResponseParts, None]:
-        """Run a forwarded call; cancelled when the sender goes away."""
+        """Run a forwarded call; cancelled when the sender disconnects."""
         ...
 
 
 class PeerServer(Server):  # type: ignore[misc]
-    """grpclib's server over our codec, on one port."""
+    """grpclib's server with the MessagePack codec, on one port."""
 
-    def __init__(self, receiver: RequestHandler, *, silent_after_ms: int) -> None:
-        self._receiver = receiver
+    def __init__(self, handler: RequestHandler, *, silent_after_ms: int) -> None:
+        self._handler = handler
         self._protocols: list[AbortableProtocol] = []
         super().__init__([self], codec=MessagePackCodec(), config=with_pings(silent_after_ms))
 
     def __mapping__(self) -> dict[str, Handler]:
-        """Return the methods, as grpclib asks for them."""
+        """Return the RPC methods in grpclib's form."""
         return {
             ASK_METHOD: Handler(self._ask, Cardinality.UNARY_UNARY, AskRequest, AskReply),
             SHARED_STREAM_METHOD: Handler(
@@ -79,13 +79,13 @@
     async def listen(self, host: str, port: int, *, tls: ssl.SSLContext | None) -> int:
         """Start listening.
 
-        :return: the real port, where 0 was asked for.
+        :return: the port; the assigned one if ``port`` is 0.
         """
         await self.start(host, port, ssl=tls, reuse_address=True)
         return int(self._server.sockets[0].getsockname()[1])
 
     def sweep(self) -> None:
-        """End connections whose close hangs; called now and then."""
+        """Abort connections whose close hangs; called periodically."""
         for protocol in self._protocols:
             protocol.abort_if_closing()
         self._protocols = [
@@ -95,7 +95,7 @@
         ]
 
     def abort(self) -> None:
-        """Stop listening and end every connection at once."""
+        """Stop listening and abort every connection."""
         self.close()
         for protocol in self._protocols:
             if protocol.transport is not None:
@@ -103,50 +103,50 @@
         self._protocols.clear()
 
     def _protocol_factory(self) -> AbortableProtocol:
-        plain: Any = super()._protocol_factory()
-        protocol = AbortableProtocol(plain.handler, plain.config, plain.h2_config)
+        base: Any = super()._protocol_factory()
+        protocol = AbortableProtocol(base.handler, base.config, base.h2_config)
         self._protocols.append(protocol)
         return protocol
 
     async def _ask(self, stream: Any) -> None:
         ask: AskRequest = await stream.recv_message()
-        await stream.send_message(await self._receiver.on_ask(ask, stream.peer.cert()))
+        await stream.send_message(await self._handler.on_ask(ask, stream.peer.cert()))
 
     async def _serve_shared_stream(self, stream: Any) -> None:
         _stop_pings(stream)
-        sending = anyio.Lock()
-        room = anyio.Semaphore(MAX_CONCURRENT_REQUESTS)
+        send_lock = anyio.Lock()
+        slots = anyio.Semaphore(MAX_CONCURRENT_REQUESTS)
         async with anyio.create_task_group() as tg:
             async for numbered in stream:
-                await room.acquire()
-                tg.start_soon(self._reply, stream, numbered, sending, room)
+                await slots.acquire()
+                tg.start_soon(self._reply, stream, numbered, send_lock, slots)
 
     async def _reply(
-        self, stream: Any, numbered: NumberedRequest, sending: anyio.Lock, room: anyio.Semaphore
+        self, stream: Any, numbered: NumberedRequest, send_lock: anyio.Lock, slots: anyio.Semaphore
     ) -> None:
         try:
-            answered = await self._receiver.on_ask(numbered.ask, stream.peer.cert())
-            async with sending:
-                await stream.send_message(replace(answered, number=numbered.number))
+            reply = await self._handler.on_ask(numbered.ask, stream.peer.cert())
+            async with send_lock:
+                await stream.send_message(replace(reply, number=numbered.number))
         except PEER_CLOSED_ERRORS:
-            # The asker closed the stream or died: nobody waits for this reply, and an error
+            # The requester closed the stream or died: nothing waits for this reply, and an error
             # here would be logged for every VM that leaves.
             return
         finally:
-            room.release()
+            slots.release()
 
     async def _forward(self, stream: Any) -> None:
         forward: ForwardRequest = await stream.recv_message()
-        async with aclosing(self._receiver.on_forward(forward, stream.peer.cert())) as answer:
-            async for parts in answer:
+        async with aclosing(self._handler.on_forward(forward, stream.peer.cert())) as response:
+            async for parts in response:
                 await stream.send_message(parts)
 
 
 def _stop_pings(stream: Any) -> None:
-    """Send no pings on a connection whose only stream is a conversation.
+    """Send no pings on a connection whose only stream is a shared stream.
 
-    Its asker gives every request a timeout, so pings find nothing that is not found anyway;
-    they doubled the bytes of membership. The library has no setting for one connection.
+    Its requests all have timeouts, which detect what pings would; pings doubled the bytes of
+    membership. grpclib has no setting for a single connection.
     """
     handle = stream._stream.connection._ping_handle
     if handle is not None:
--- a/src/hickorybeam/peers/shared_stream.py
+++ b/src/hickorybeam/peers/shared_stream.py
@@ -1,8 +1,8 @@
-"""Steady topics on a long-lived stream: one for each peer, for small requests that come often.
+"""Shared streams: one long-lived gRPC stream to each peer for small, frequent requests.
 
-Each unary call sends and reads two blocks of headers, which is most of its processor time:
-a request costs about half on a stream that is already open (docs/design/membership.md).
-Large replies would hold up the small ones behind them and so keep to calls of their own.
+Each unary call sends and reads two blocks of headers, which take most of its CPU time: a request on
+an open stream takes about half (docs/design/membership.md). Large replies would delay the small
+ones behind them, so their topics use separate calls.
 """
 
 from __future__ import annotations
@@ -29,74 +29,74 @@
 
 
 class SharedStream:
-    """One stream to a peer; its task owns the stream, askers wait for their replies.
+    """A stream to a peer on which concurrent requests wait for their replies by number.
 
-    :param channel: a connection of its own, which ends with the conversation.
+    :param channel: connection of this stream only; closed with it.
     """
 
     def __init__(self, channel: PeerChannel) -> None:
-        self.ended = False
-        self.heard = 0
+        self.closed = False
+        self.received_replies = 0
         self._channel = channel
         self._opened: Reply[Any] = Reply()
-        self._waiting: dict[int, Reply[AskReply]] = {}
-        self._number = 0
-        self._sending = anyio.Lock()
+        self._pending: dict[int, Reply[AskReply]] = {}
+        self._last_number = 0
+        self._send_lock = anyio.Lock()
         self._scope = anyio.CancelScope()
 
     @property
     def idle(self) -> bool:
-        """Whether nobody waits for a reply."""
-        return not self._waiting
+        """Whether no request waits for a reply."""
+        return not self._pending
 
     async def run(self, connect_timeout_ms: int, errors: tuple[type[Exception], ...]) -> None:
-        """Open the stream and hand out replies until it ends.
+        """Open the stream and dispatch replies until it ends.
 
-        :param errors: what the transport raises when it fails.
+        :param errors: exceptions that the transport raises on failure.
         """
-        failure: Exception = TransportEndedError("the conversation ended")
+        failure: Exception = TransportEndedError("the shared stream ended")
         try:
             with self._scope:
-                await self._converse(connect_timeout_ms)
+                await self._dispatch_replies(connect_timeout_ms)
         except errors as exc:
             failure = exc
         finally:
-            self.ended = True
+            self.closed = True
             self._opened.fail(failure)
-            for waiting in self._waiting.values():
-                waiting.fail(TransportEndedError("the conversation ended"))
+            for pending in self._pending.values():
+                pending.fail(TransportEndedError("the shared stream ended"))
             self._channel.abort()
 
-    def end(self) -> None:
-        """End the stream; whoever waits for a reply gets an error."""
-        self.ended = True
+    def close(self) -> None:
+        """Close the stream; requests that wait for a reply fail."""
+        self.closed = True
         self._scope.cancel()
 
     async def open(self) -> Any:
-        """Wait for the stream and return it, or raise why it did not open."""
+        """Wait until the stream is open and return it, or raise the error that prevented it."""
         return await self._opened.wait()
 
     async def ask(self, stream: Any, ask: AskRequest) -> AskReply:
         """Send one request and wait for its reply."""
-        self._number += 1
-        number = self._number
-        reply = self._waiting[number] = Reply()
+        self._last_number += 1
+        number = self._last_number
+        reply = self._pending[number] = Reply()
         try:
-            async with self._sending:
+            async with self._send_lock:
                 await self._send(stream, NumberedRequest(number=number, ask=ask))
             return await reply.wait()
         finally:
-            self._waiting.pop(number, None)
+            self._pending.pop(number, None)
 
     async def _send(self, stream: Any, message: NumberedRequest) -> None:
         try:
             await stream.send_message(message)
         except BaseException:
-            # A message cut short by a timeout would run together with the next one.
-            self.end()
+            # After a message cut short by a timeout, the next one would be read as its rest.
+            self.close()
             raise
 
-    async def _converse(self, connect_timeout_ms: int) -> None:
+    async def _dispatch_replies(self, connect_timeout_ms: int) -> None:
         call = self._channel.request(
             SHARED_STREAM_METHOD, Cardinality.STREAM_STREAM, NumberedRequest, AskReply
         )
@@ -104,8 +104,8 @@
             with anyio.fail_after(connect_timeout_ms / MS_PER_SECOND):
                 await stream.send_request()
             self._opened.set(stream)
-            async for answered in stream:
-                self.heard += 1
-                waiting = self._waiting.pop(answered.number, None)
-                if waiting is not None:
-                    waiting.set(answered)
+            async for message in stream:
+                self.received_replies += 1
+                pending = self._pending.pop(message.number, None)
+                if pending is not None:
+                    pending.set(message)
--- a/src/hickorybeam/peers/tls.py
+++ b/src/hickorybeam/peers/tls.py
@@ -1,7 +1,7 @@
-"""Mutual authentication between VMs: both ends show a certificate of the fleet's authority.
+"""Mutual TLS between VMs: both ends present a certificate of the fleet's authority.
 
-A certificate names the fleet or one VM in a URI of its subject alternative names. Addresses
-are not in it: VMs are replaced at any time and keep none.
+A certificate names the fleet or one VM in a URI of its subject alternative names. It holds no
+addresses, since VMs are replaced at any time and keep none.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 def vm_uri(name: str) -> str:
-    """Return how a certificate names one VM."""
+    """Return the URI by which a certificate names one VM."""
     return VM_URI + name
 
 
@@ -32,7 +32,7 @@
     if cfg.plain:
         return None
     context = _context(cfg, ssl.PROTOCOL_TLS_CLIENT)
-    # Peers are known by the name in their certificate and not by their address.
+    # ``check_certificate`` identifies peers by the URI in their certificate, not by address.
     context.check_hostname = False
     return context
 
@@ -51,10 +51,10 @@
 
 
 def check_certificate(certificate: dict[str, Any] | None, name: str) -> None:
-    """Refuse a peer whose certificate names neither the fleet nor itself.
+    """Refuse a peer whose certificate names neither the fleet nor that VM.
 
-    :param certificate: as the ssl module gives it.
-    :param name: the VM that the peer says it is; empty when it is not known yet.
+    :param certificate: the peer's, as decoded by the ssl module.
+    :param name: VM name that the peer claims; empty if it is not known yet.
     """
     found = [
         value for kind, value in (certificate or {}).get("subjectAltName", ()) if kind == "URI"
@@ -89,10 +89,10 @@
 
 
 def _counting(on_refused: Callable[[], None]) -> type[ssl.SSLObject]:
-    """Return the class of TLS connections that tells of failed handshakes.
+    """Return a class of TLS connections that reports failed handshakes.
 
-    asyncio ends such a connection before any of our code sees it: without this hook, a fleet
-    under a wrong authority would show nothing but unreachable peers.
+    asyncio closes such a connection before any code of this project sees it: without the hook, a
+    fleet with a wrong authority would show only unreachable peers.
     """
 
     class CountedHandshake(ssl.SSLObject):
--- a/src/hickorybeam/peers/wire.py
+++ b/src/hickorybeam/peers/wire.py
@@ -1,4 +1,4 @@
-"""The messages between entry VMs, and how an error travels in them."""
+"""The messages between entry VMs, and the encoding of errors in them."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class WireError:
-    """A ``GatewayError`` between VMs; the kind is text, since a newer VM may know more kinds."""
+    """An encoded ``GatewayError``; the kind is text, since a newer VM may have more kinds."""
 
     kind: str
     detail: str = ""
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class AskRequest:
-    """One request of a topic; ``to`` with an empty incarnation means whoever listens there."""
+    """One request of a topic; an empty incarnation in ``to`` addresses any VM that listens."""
 
     sender: VmId
     to: VmId
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class NumberedRequest:
-    """A request on a long-lived stream; its reply has the same number."""
+    """A request on a shared stream; its reply has the same number."""
 
     number: int
     ask: AskRequest
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class AskReply:
-    """The reply to an ``Ask``: a body or an error; numbered on a long-lived stream."""
+    """The reply to an ``AskRequest``: a body or an error; numbered on a shared stream."""
 
     body: bytes = b""
     error: WireError | None = None
@@ -71,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ForwardRequest:
-    """A call to run at the receiver and nowhere else."""
+    """A call for the receiver to run, which must not forward it again."""
 
     sender: VmId
     to: VmId
@@ -80,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ResponseParts:
-    """Some parts of an answer, in their order; the last message carries ``end`` or ``error``."""
+    """Some parts of a response in their order; the last message has ``end`` or ``error``."""
 
     head: ResponseHead | None = None
     chunks: tuple[ResponseChunk, ...] = ()
@@ -89,7 +89,7 @@
 
 
 def to_wire(exc: GatewayError) -> WireError:
-    """Return the error as it travels."""
+    """Return the encoded form of an error."""
     return WireError(
         kind=exc.kind.value,
         detail=exc.detail,
@@ -101,7 +101,7 @@
 
 
 def to_error(wire: WireError) -> GatewayError:
-    """Return the error to raise; a kind this version does not know becomes ``INTERNAL``."""
+    """Return the error to raise; a kind unknown to this version becomes ``INTERNAL``."""
     try:
         kind = ErrorKind(wire.kind)
     except ValueError:
