--- a/tests/peers/authentication.feature
+++ b/tests/peers/authentication.feature
@@ -1,6 +1,6 @@
 Feature: Only VMs of the fleet are peers
 
-  Scenario Outline: VMs that show the authority's certificate for themselves or the fleet
+  Scenario Outline: VMs that present the authority's certificate for themselves or the fleet
     Given a TLS peer node B with a "<b>" certificate
     And a TLS peer node A with a "<a>" certificate
     When peer node A asks B to echo "salaam"
@@ -11,9 +11,9 @@
       | fleet | fleet |
       | vm-a  | vm-b  |
 
-  Scenario Outline: A caller of the peer port that cannot show it belongs to the fleet
-    # Someone else's process, or a VM with a wrong or outdated certificate, calls the peer
-    # port. The handler never sees the request, and the VM called counts a refusal.
+  Scenario Outline: A caller of the peer port without a valid certificate of the fleet
+    # A process outside the fleet, or a VM with a wrong or expired certificate, calls the peer port.
+    # The handler must not see the request, and the VM called must count a refusal.
     Given a TLS peer node B with a "fleet" certificate
     And a TLS peer node A with a "<a>" certificate
     When peer node A asks B to echo "salaam"
@@ -33,8 +33,8 @@
     Then its connection is closed
     And peer node B ran no handler and counted a refused peer
 
-  Scenario Outline: A VM that answers in a peer's place
-    # Something else listens at the peer's address. The request's content must not reach it.
+  Scenario Outline: A process that listens at a peer's address without the peer's certificate
+    # Another process listens at the peer's address. It must not receive the request's content.
     Given a TLS peer node B with a "<b>" certificate
     And a TLS peer node A with a "fleet" certificate
     When peer node A asks B to echo "salaam"
--- a/tests/peers/decisions.feature
+++ b/tests/peers/decisions.feature
@@ -1,19 +1,19 @@
-Feature: Decisions of membership, with no network
+Feature: Membership logic, without a network
 
-  Scenario: Merging views does not depend on the order of news
+  Scenario: Merging views does not depend on the order of records
     Then merging member records is commutative, associative and idempotent
 
-  Scenario: News lost, delayed, repeated and overtaken
-    # VMs crash, restart, leave, are accused wrongly and refute it, while heartbeats are lost
-    # before or after they take effect, or arrive long after. No view ever goes back to an
-    # earlier life of a VM or revives one that left; and once heartbeats get through, all
-    # views are equal and hold exactly the VMs that run.
+  Scenario: Heartbeats lost, delayed, repeated and overtaken
+    # VMs crash, restart, leave, are wrongly marked as silent and refute it, while heartbeats are
+    # lost before or after they take effect, or arrive late. No view may go back to an earlier
+    # incarnation of a VM or revive one that left. Once heartbeats get through, all views must be
+    # equal and hold exactly the running VMs.
     Then views under lost, late and repeated heartbeats never go back and end up equal
 
-  Scenario Outline: Heartbeat partners are few and reach everyone
+  Scenario Outline: Heartbeat partners are few and reach every VM
     Given a ring of <size> VMs
     Then each VM of the ring has at most <most> partners
-    And news crosses the ring in at most <hops> steps
+    And updates cross the ring in at most <hops> hops
 
     Examples:
       | size | most | hops |
@@ -25,22 +25,22 @@
 
   Scenario: The loss of a VM changes few partners
     Given a ring of 43 VMs
-    When one VM of the ring is lost
-    Then at most 14 of 43 VMs have a new successor or first finger
+    When one VM is removed from the ring
+    Then at most 14 of 43 VMs have a new first or second partner
 
-  Scenario: Duties between data centres fall on different VMs
+  Scenario: Delegates to different data centres are different VMs
     Given a ring of 43 VMs
     Then delegates towards 8 data centres are at least 5 different VMs
 
-  Scenario: The second in line follows when a delegate is lost, and nobody else moves
+  Scenario: The deputy of a lost delegate takes over, and no other delegate changes
     Given a ring of 43 VMs
-    Then losing a delegate promotes its deputy and leaves the other delegates
+    Then losing a delegate promotes its deputy and changes no other delegate
 
-  Scenario Outline: A VM that does not answer is accused only on others' word
-    Then a suspect reached as "<answers>" by those asked is judged "<verdict>"
+  Scenario Outline: A VM is marked as silent only if a witness fails to reach it as well
+    Then witness replies "<replies>" about a suspect give the verdict "<verdict>"
 
     Examples:
-      | answers     | verdict           |
+      | replies     | verdict           |
       | no,no,no    | silent            |
       | no,none     | silent            |
       | no,yes,none | reached_by_others |
@@ -48,8 +48,8 @@
       | none,none   | unconfirmed       |
       |             | unconfirmed       |
 
-  Scenario Outline: When others are asked about a peer that does not answer
-    Then a peer last heard <age> ms ago and <how> has others asked <asked>
+  Scenario Outline: When witnesses are asked about a peer that does not reply
+    Then a peer last seen <age> ms ago and <how> has witnesses asked <asked>
 
     Examples:
       | age  | how           | asked |
@@ -58,11 +58,11 @@
       | 2000 | not answering | yes   |
       | 10   | refusing      | yes   |
 
-  Scenario Outline: What a caller is told of entry VMs
-    # A caller must not be sent where its data may not be processed, nor to a VM that is
-    # about to go or not yet there.
+  Scenario Outline: Which entry VMs a caller is sent
+    # A caller must not be sent VMs in regions where its data may not be processed, nor VMs that
+    # are leaving or joining.
     Given entry VMs in dakar-1, dakar-2 and thies-1, one of each leaving and one joining
-    Then a caller in "dakar-1" allowed "<allowed>" is told VMs of "<order>"
+    Then a caller in "dakar-1" allowed "<allowed>" is sent VMs of "<order>"
 
     Examples:
       | allowed     | order                   |
@@ -72,17 +72,18 @@
       | dar         |                         |
       | unknown     |                         |
 
-  Scenario: The callers of a dead VM do not all arrive at one other
-    # Four hundred callers hold lists; the VM at the head of some of them dies.
+  Scenario: The callers of a dead VM are spread over the others
+    # Four hundred callers have lists of VMs, and the first VM of some of these lists dies. Its
+    # callers must not all move to the same VM.
     Given entry VMs of one data centre of 9
     When the VM at the head of some callers' lists dies
     Then its callers spread over the other 8 VMs, none with more than twice its part
     And no other caller's first VM changes
 
-  Scenario: A forecast is told again only when it moved or is old
+  Scenario: A forecast is sent again only when it changed or is old
     Given a VM that reports its region's wait as 100 ms
-    Then after these reports its delegate tells of
-      | at_ms | wait_ms | told |
+    Then after these reports its delegate sends
+      | at_ms | wait_ms | sent |
       | 100   | 150     | no   |
       | 2000  | 110     | no   |
       | 2100  | 115     | no   |
@@ -93,7 +94,7 @@
       | 9300  | 300     | no   |
       | 9400  | 300     | yes  |
 
-  Scenario Outline: A new life sorts after any that was seen, whatever the clocks say
+  Scenario Outline: A new incarnation sorts after any known one, whatever the clocks show
     Then an incarnation made after <seen> sorts after it
 
     Examples:
@@ -103,11 +104,11 @@
       | 00ffffffffff-ffffffff |
 
   Scenario: A heartbeat overtaken by a later one of the same VM
-    # Request and reply of two heartbeats travel on different connections. The older one
-    # arrives last and must not put an old log position in place of the new.
-    Given two VMs whose exchanges have met
-    When one publishes a note, then a newer one, and the heartbeats arrive the other way round
-    Then the other heard only the newer note
+    # Two heartbeats of a VM, one a request and one a reply, travel on different connections. The
+    # older one arrives last and must not replace the new log position with an old one.
+    Given two VMs that have exchanged their views
+    When one publishes a note, then a newer one, and the heartbeats arrive in reverse order
+    Then the other received only the newer note
 
   Scenario Outline: Which of two records of a VM wins
     Then of the member records "<one>" and "<other>" the winner is "<winner>"
--- a/tests/steps/peers/authentication_steps.py
+++ b/tests/steps/peers/authentication_steps.py
@@ -19,7 +19,7 @@
 
 
 def credentials(context, kind):
-    """TLS settings that trust the fleet's authority and show a certificate of this kind."""
+    """Return TLS settings that trust the fleet's authority and present this kind of certificate."""
     if not hasattr(context, "folder"):
         root = context.stack.enter_context(tempfile.TemporaryDirectory())
         context.folder, context.foreign = Path(root) / "fleet", Path(root) / "foreign"
@@ -50,9 +50,9 @@
     if letter == "B":
         context.handled = []
 
-        async def echo(sender, words):
-            context.handled.append(words)
-            return EchoMessage(f"{sender.name} said {words.text}")
+        async def echo(sender, message):
+            context.handled.append(message)
+            return EchoMessage(f"{sender.name} said {message.text}")
 
         node.peers.serve(ECHO, echo)
     enter(context, node.running())
@@ -70,7 +70,7 @@
 
 
 @then("peer node B ran no handler")
-def step_unhandled(context):
+def step_no_handler(context):
     assert context.handled == []
 
 
--- a/tests/steps/peers/decision_steps.py
+++ b/tests/steps/peers/decision_steps.py
@@ -23,7 +23,7 @@
 from hickorybeam.peers.view import MemberRecord, MembershipView, winning_record
 from hickorybeam.policy.entry_order import entry_order
 
-FIXED = settings(
+HYPOTHESIS_SETTINGS = settings(
     derandomize=True,
     deadline=None,
     database=None,
@@ -60,7 +60,7 @@
 )
 
 
-def merged(*parts):
+def merge_all(*parts):
     view = MembershipView()
     for part in parts:
         for record in part:
@@ -70,27 +70,27 @@
 
 @then("merging member records is commutative, associative and idempotent")
 def step_merge(context):
-    @FIXED
+    @HYPOTHESIS_SETTINGS
     @forall(st.lists(records, max_size=5), st.lists(records, max_size=5), st.randoms())
     def check(one, other, order):
         shuffled = [*one, *other, *one]
         order.shuffle(shuffled)
-        assert merged(one, other) == merged(other, one) == merged(shuffled)
-        joined = merged(one)[0].values()
-        assert merged(joined, other) == merged(one, other)
+        assert merge_all(one, other) == merge_all(other, one) == merge_all(shuffled)
+        joined = merge_all(one)[0].values()
+        assert merge_all(joined, other) == merge_all(one, other)
 
     check()
 
 
-class Gossip(RuleBasedStateMachine):
-    """Four VM names in two data centres; the machine plays the network and the processes."""
+class GossipMachine(RuleBasedStateMachine):
+    """Four VM names in two data centres; the rules act as the network and the processes."""
 
     NAMES = ("a1", "a2", "b1", "b2")
 
     def __init__(self):
         super().__init__()
         self.now = 1_000
-        self.late = []
+        self.delayed = []
         self.highest = {}
 
     @initialize()
@@ -115,15 +115,15 @@
             self.send(source, to, lose_reply=lose)
 
     @rule(source=st.sampled_from(NAMES), to=st.sampled_from(NAMES))
-    def hold_back(self, source, to):
+    def delay(self, source, to):
         if source != to:
             request = self.nodes[source].next_heartbeat(self.nodes[to].own_vm)
-            self.late.append((self.nodes[source].own_vm.id, to, request))
+            self.delayed.append((self.nodes[source].own_vm.id, to, request))
 
     @rule(which=st.randoms())
-    def deliver_late(self, which):
-        if self.late:
-            sender, to, request = which.choice(self.late)
+    def deliver_delayed(self, which):
+        if self.delayed:
+            sender, to, request = which.choice(self.delayed)
             self.nodes[to].on_request(sender, request, now_ms=self.now, wall_ms=self.now)
 
     @rule(by=st.sampled_from(NAMES), name=st.sampled_from(NAMES))
@@ -132,21 +132,21 @@
         if record is not None and by != name:
             self.nodes[by].mark_silent(record.vm.id, wall_ms=self.now)
 
-    @rule(name=st.sampled_from(NAMES), says_so=st.booleans())
-    def restart(self, name, says_so):
+    @rule(name=st.sampled_from(NAMES), announced=st.booleans())
+    def restart(self, name, announced):
         node = self.nodes[name]
-        if says_so:
+        if announced:
             node.announce(node.own_vm, wall_ms=self.now, gone=True)
             self.send(name, self.NAMES[self.NAMES.index(name) - 1], lose_reply=True)
         self.nodes[name] = self.make(name, int(node.own_vm.id.incarnation) + 1)
 
     @rule(name=st.sampled_from(NAMES))
-    def leave_later(self, name):
+    def announce_leaving(self, name):
         node = self.nodes[name]
         node.announce(replace(node.own_vm, state=VmState.LEAVING), wall_ms=self.now)
 
     @invariant()
-    def never_back(self):
+    def views_never_go_back(self):
         for holder, node in getattr(self, "nodes", {}).items():
             for record in node.view:
                 key = (holder, node.own_vm.id.incarnation, record.vm.id.name)
@@ -157,16 +157,16 @@
     def teardown(self):
         if not hasattr(self, "nodes"):
             return
-        # A note, an accusation and its refutation each cross the four VMs once.
+        # A note, a mark as silent and its refutation each have to reach all four VMs.
         for _ in range(6):
             for source in self.NAMES:
                 for to in self.NAMES:
                     if source != to:
                         self.send(source, to)
-        wanted = {node.own_vm.id for node in self.nodes.values()}
+        expected = {node.own_vm.id for node in self.nodes.values()}
         for node in self.nodes.values():
             live = {record.vm.id for record in node.view if record.live}
-            assert live == wanted, (node.own_vm.id, live ^ wanted)
+            assert live == expected, (node.own_vm.id, live ^ expected)
             others = [other.own_vm.id for other in self.nodes.values() if other is not node]
             assert not any(map(node.has_urgent_updates, others)), node.own_vm.id
         assert len({node.view.digest for node in self.nodes.values()}) == 1
@@ -174,7 +174,7 @@
 
 @then("views under lost, late and repeated heartbeats never go back and end up equal")
 def step_gossip(context):
-    run_state_machine_as_test(Gossip, settings=FIXED)
+    run_state_machine_as_test(GossipMachine, settings=HYPOTHESIS_SETTINGS)
 
 
 @given("a ring of {size:d} VMs")
@@ -187,7 +187,7 @@
     assert all(len(ring.heartbeat_partners(name, context.names)) <= most for name in context.names)
 
 
-@then("news crosses the ring in at most {hops:d} steps")
+@then("updates cross the ring in at most {hops:d} hops")
 def step_hops(context, hops):
     partners = {name: ring.heartbeat_partners(name, context.names) for name in context.names}
     for start in context.names[:20]:
@@ -198,25 +198,25 @@
         assert steps <= hops, (start, steps)
 
 
-@when("one VM of the ring is lost")
-def step_lost(context):
+@when("one VM is removed from the ring")
+def step_removed(context):
     context.before = {
         name: ring.heartbeat_partners(name, context.names)[:2] for name in context.names
     }
     context.names = context.names[1:]
 
 
-@then("at most {most:d} of 43 VMs have a new successor or first finger")
+@then("at most {most:d} of 43 VMs have a new first or second partner")
 def step_moved(context, most):
-    moved = sum(
+    changed = sum(
         ring.heartbeat_partners(name, context.names)[:2] != context.before[name]
         for name in context.names
     )
-    assert 0 < moved <= most, moved
+    assert 0 < changed <= most, changed
 
 
-def delegate_of(names, there):
-    return ring.delegate_order(names, of="here", towards=there)[0]
+def delegate_of(names, remote):
+    return ring.delegate_order(names, of="here", towards=remote)[0]
 
 
 @then("delegates towards {count:d} data centres are at least {least:d} different VMs")
@@ -225,32 +225,34 @@
     assert len(found) >= least, found
 
 
-@then("losing a delegate promotes its deputy and leaves the other delegates")
+@then("losing a delegate promotes its deputy and changes no other delegate")
 def step_deputy(context):
-    centres = [f"dc-{number}" for number in range(8)]
-    first, second = ring.delegate_order(context.names, of="here", towards=centres[0])[:2]
-    before = {there: delegate_of(context.names, there) for there in centres}
-    left = [name for name in context.names if name != first]
-    after = {there: delegate_of(left, there) for there in centres}
-    assert after[centres[0]] == second
-    assert all(after[there] == before[there] for there in centres if before[there] != first)
+    data_centres = [f"dc-{number}" for number in range(8)]
+    first, second = ring.delegate_order(context.names, of="here", towards=data_centres[0])[:2]
+    before = {remote: delegate_of(context.names, remote) for remote in data_centres}
+    remaining = [name for name in context.names if name != first]
+    after = {remote: delegate_of(remaining, remote) for remote in data_centres}
+    assert after[data_centres[0]] == second
+    assert all(
+        after[remote] == before[remote] for remote in data_centres if before[remote] != first
+    )
 
 
-ANSWERS = {"yes": True, "no": False, "none": None}
+REPLIES = {"yes": True, "no": False, "none": None}
 
 
-@then('a suspect reached as "{answers}" by those asked is judged "{verdict}"')
-def step_judge(context, answers, verdict):
-    given_answers = [ANSWERS[answer] for answer in answers.split(",")]
-    assert verdict_from(given_answers).value == verdict
+@then('witness replies "{replies}" about a suspect give the verdict "{verdict}"')
+def step_verdict(context, replies, verdict):
+    reached = [REPLIES[reply] for reply in replies.split(",")]
+    assert verdict_from(reached).value == verdict
 
 
-@then('a suspect reached as "" by those asked is judged "{verdict}"')
-def step_judge_none(context, verdict):
+@then('witness replies "" about a suspect give the verdict "{verdict}"')
+def step_verdict_none(context, verdict):
     assert verdict_from([]).value == verdict
 
 
-@then("a peer last heard {age:d} ms ago and {how} has others asked {asked}")
+@then("a peer last seen {age:d} ms ago and {how} has witnesses asked {asked}")
 def step_asked(context, age, how, asked):
     contact = PeerContact(last_seen_ms=1_000)
     found = contact.record_failure(1_000 + age, refused=how == "refusing", silent_after_ms=2_000)
@@ -260,32 +262,32 @@
 @given("entry VMs in dakar-1, dakar-2 and thies-1, one of each leaving and one joining")
 def step_entry_vms(context):
     context.vms = [
-        make_vm(f"{centre}.{number}", data_centre=centre, state=state)
-        for centre in ("thies-1", "dakar-2", "dakar-1")
+        make_vm(f"{data_centre}.{number}", data_centre=data_centre, state=state)
+        for data_centre in ("thies-1", "dakar-2", "dakar-1")
         for number, state in enumerate(
             (VmState.LEAVING, VmState.SERVING, VmState.SERVING, VmState.JOINING)
         )
     ]
 
 
-@then('a caller in "{centre}" allowed "{allowed}" is told VMs of "{order}"')
-def step_told(context, centre, allowed, order):
+@then('a caller in "{data_centre}" allowed "{allowed}" is sent VMs of "{order}"')
+def step_sent(context, data_centre, allowed, order):
     regions = None if allowed == "unknown" else frozenset(allowed.split(","))
-    told = entry_order(
-        context.vms, region="dakar", data_centre=centre, allowed=regions, caller_key="tour"
+    sent = entry_order(
+        context.vms, region="dakar", data_centre=data_centre, allowed=regions, caller_key="tour"
     )
-    assert [vm.data_centre for vm in told] == [
+    assert [vm.data_centre for vm in sent] == [
         name for name in order.split(",") for _ in range(2)
-    ], told
-    assert all(vm.state is VmState.SERVING for vm in told)
+    ], sent
+    assert all(vm.state is VmState.SERVING for vm in sent)
 
 
-@then('a caller in "{centre}" allowed "{allowed}" is told VMs of ""')
-def step_told_none(context, centre, allowed):
+@then('a caller in "{data_centre}" allowed "{allowed}" is sent VMs of ""')
+def step_sent_none(context, data_centre, allowed):
     regions = None if allowed == "unknown" else frozenset(allowed.split(","))
     assert (
         entry_order(
-            context.vms, region="dakar", data_centre=centre, allowed=regions, caller_key="tour"
+            context.vms, region="dakar", data_centre=data_centre, allowed=regions, caller_key="tour"
         )
         == ()
     )
@@ -296,7 +298,7 @@
     context.vms = [make_vm(f"vm-{number}") for number in range(count)]
 
 
-def heads(vms):
+def first_vms(vms):
     return {
         caller: entry_order(
             vms,
@@ -310,35 +312,35 @@
 
 
 @when("the VM at the head of some callers' lists dies")
-def step_head_dies(context):
-    context.heads = heads(context.vms)
-    context.dead = context.heads[0]
-    context.after = heads([vm for vm in context.vms if vm.id.name != context.dead])
+def step_first_vm_dies(context):
+    context.first_vms = first_vms(context.vms)
+    context.dead_name = context.first_vms[0]
+    context.after = first_vms([vm for vm in context.vms if vm.id.name != context.dead_name])
 
 
 @then("its callers spread over the other {count:d} VMs, none with more than twice its part")
 def step_spread(context, count):
-    moved = [caller for caller, head in context.heads.items() if head == context.dead]
-    arrivals = Counter(context.after[caller] for caller in moved)
+    changed = [caller for caller, head in context.first_vms.items() if head == context.dead_name]
+    arrivals = Counter(context.after[caller] for caller in changed)
     assert len(arrivals) == count, arrivals
-    assert max(arrivals.values()) <= 2 * len(moved) / count, arrivals
+    assert max(arrivals.values()) <= 2 * len(changed) / count, arrivals
 
 
 @then("no other caller's first VM changes")
 def step_kept(context):
     assert all(
         context.after[caller] == head
-        for caller, head in context.heads.items()
-        if head != context.dead
+        for caller, head in context.first_vms.items()
+        if head != context.dead_name
     )
 
 
 @given("a VM that reports its region's wait as {wait:d} ms")
 def step_reports(context, wait):
     context.gossip = GossipState(make_vm("a"), now_ms=0, wall_ms=0)
-    context.far = make_vm("z", data_centre="thies-1")
+    context.remote = make_vm("z", data_centre="thies-1")
     report(context, wait, 0)
-    assert told_loads(context, 0)
+    assert sent_loads(context, 0)
 
 
 def report(context, wait, at_ms):
@@ -346,23 +348,25 @@
     context.gossip.set_own_load(load, wall_ms=at_ms)
 
 
-def told_loads(context, at_ms):
-    request = context.gossip.next_heartbeat(context.far)
-    far = getattr(context, "far_gossip", None) or GossipState(context.far, now_ms=0, wall_ms=0)
-    context.far_gossip = far
-    reply, _ = far.on_request(context.gossip.own_vm.id, request, now_ms=at_ms, wall_ms=at_ms)
-    context.gossip.on_reply(context.far.id, request, reply, now_ms=at_ms, wall_ms=at_ms)
+def sent_loads(context, at_ms):
+    request = context.gossip.next_heartbeat(context.remote)
+    remote = getattr(context, "remote_gossip", None) or GossipState(
+        context.remote, now_ms=0, wall_ms=0
+    )
+    context.remote_gossip = remote
+    reply, _ = remote.on_request(context.gossip.own_vm.id, request, now_ms=at_ms, wall_ms=at_ms)
+    context.gossip.on_reply(context.remote.id, request, reply, now_ms=at_ms, wall_ms=at_ms)
     return request.loads
 
 
-@then("after these reports its delegate tells of")
-def step_told_loads(context):
-    # The first meeting ends with both knowing each other's whole view.
-    told_loads(context, 1)
+@then("after these reports its delegate sends")
+def step_sent_loads(context):
+    # After the first exchange both VMs have each other's whole view.
+    sent_loads(context, 1)
     for row in context.table:
         report(context, float(row["wait_ms"]), int(row["at_ms"]))
-        told = told_loads(context, int(row["at_ms"]))
-        assert bool(told) == (row["told"] == "yes"), (row, told)
+        sent = sent_loads(context, int(row["at_ms"]))
+        assert bool(sent) == (row["sent"] == "yes"), (row, sent)
 
 
 @then("an incarnation made after {seen} sorts after it")
@@ -370,8 +374,8 @@
     assert new_incarnation(5, after=seen) > seen
 
 
-@given("two VMs whose exchanges have met")
-def step_met(context):
+@given("two VMs that have exchanged their views")
+def step_exchanged(context):
     context.one = GossipState(make_vm("a"), now_ms=0, wall_ms=0)
     context.other = GossipState(make_vm("b"), now_ms=0, wall_ms=0)
     for _ in range(2):
@@ -381,7 +385,7 @@
             source.on_reply(to.own_vm.id, request, reply, now_ms=1, wall_ms=1)
 
 
-@when("one publishes a note, then a newer one, and the heartbeats arrive the other way round")
+@when("one publishes a note, then a newer one, and the heartbeats arrive in reverse order")
 def step_overtaken(context):
     context.one.publish("position", b"1", urgent=False)
     older = context.one.next_heartbeat(context.other.own_vm)
@@ -393,7 +397,7 @@
         context.notes += [note.data for note in news.notes]
 
 
-@then("the other heard only the newer note")
+@then("the other received only the newer note")
 def step_newer(context):
     assert context.notes == [b"2"], context.notes
 
--- a/tests/steps/peers/membership_steps.py
+++ b/tests/steps/peers/membership_steps.py
@@ -7,7 +7,7 @@
 from support.fleet import of, start, until
 
 
-@given("the fleet's platform is out")
+@given("the fleet's platform is unavailable")
 def step_out(context):
     context.platform_fault = {"out": True}
 
@@ -54,7 +54,7 @@
     context.old = context.call(context.fleet.stop, name)
 
 
-@then("the platform's list names exactly the running VMs")
+@then("the platform's VM registry names exactly the running VMs")
 def step_list(context):
     wanted = {f"vms/{name}" for name in context.fleet.members}
     assert set(context.fleet.table["keys"]) == wanted, context.fleet.table["keys"]
@@ -106,14 +106,14 @@
     context.call(run)
 
 
-@then('every other VM of "{data_centre}" hears the note')
+@then('every other VM of "{data_centre}" receives the note exactly once')
 def step_heard(context, data_centre):
     names = {member.id.name for member in of(context, data_centre)} - {context.publisher}
     context.call(until, lambda: names <= set(context.heard))
     assert all(context.heard[name] == [(context.publisher, b"7")] for name in names), context.heard
 
 
-@when('the note of "{name}" reaches "{other}" once more, with a later change')
+@when('the note of "{name}" reaches "{other}" again, with a later change')
 def step_note_again(context, name, other):
     async def run():
         sender = context.fleet.members[name]
--- a/tests/steps/peers/silent_steps.py
+++ b/tests/steps/peers/silent_steps.py
@@ -18,38 +18,40 @@
 from support.peer_nodes import ECHO, PLAIN, EchoMessage, Node, collect, enter, make_call
 from support.stopwatch import Stopwatch
 
-SILENT_MS = 400
-# Shorter than the pings take, so that it is the failed request that gives the connection up.
+SILENT_AFTER_MS = 400
+# Shorter than the detection by pings, so that the failed request itself retires the connection.
 ASK_TIMEOUT_MS = 250
-STEADY = replace(ECHO, name="steady echo", shared_stream=True)
-TINY_BUFFER = 2048
+SHARED_ECHO = replace(ECHO, name="shared echo", shared_stream=True)
+TINY_BUFFER_BYTES = 2048
 
 
 @given("two peer nodes with a relay before B")
 def step_relay(context):
-    async def echo(sender, words):
-        return EchoMessage(f"{sender.name} said {words.text}")
+    async def echo(sender, message):
+        return EchoMessage(f"{sender.name} said {message.text}")
 
-    peers = PeerSettings(tls=PLAIN, silent_after_ms=SILENT_MS, call_timeout_ms=SILENT_MS)
+    peers = PeerSettings(
+        tls=PLAIN, silent_after_ms=SILENT_AFTER_MS, call_timeout_ms=SILENT_AFTER_MS
+    )
     context.a = context.call(lambda: Node("vm-a", peers=peers))
     context.b = context.call(lambda: Node("vm-b", "thies", peers=peers))
 
-    async def echo_slowly(sender, words):
-        if words.text == "slow":
+    async def echo_slowly(sender, message):
+        if message.text == "slow":
             await context.others_answered.wait()
-        return await echo(sender, words)
+        return await echo(sender, message)
 
     context.b.peers.serve(ECHO, echo)
-    context.b.peers.serve(STEADY, echo_slowly)
+    context.b.peers.serve(SHARED_ECHO, echo_slowly)
     enter(context, context.a.running())
     enter(context, context.b.running())
     context.relay = enter(context, relay.serve("127.0.0.1", context.b.peers.port))
-    context.target = context.b.at(context.relay.port)
+    context.target = context.b.with_port(context.relay.port)
 
 
-@when('peer node A steadily asks B to echo "{text}" through the relay')
-def step_ask_steadily(context, text):
-    ask_through(context, STEADY, text)
+@when('peer node A asks B on the shared stream to echo "{text}" through the relay')
+def step_ask_shared(context, text):
+    ask_through(context, SHARED_ECHO, text)
 
 
 @when('peer node A asks B to echo "{text}" through the relay')
@@ -70,8 +72,8 @@
     context.call(ask)
 
 
-@when("the relay forgets its open connections")
-def step_forget(context):
+@when("the relay drops the bytes of its open connections")
+def step_drop_bytes(context):
     context.call(context.relay.drop_bytes_of_open)
 
 
@@ -114,38 +116,38 @@
     context.call(run)
 
 
-@then("that took at most {most:d} ms with a silent time of {silent:d} ms")
-def step_took(context, most, silent):
-    assert silent == SILENT_MS
-    assert context.took_ms <= most, context.took_ms
+@then("that took at most {limit_ms:d} ms with silent_after_ms of {silent_ms:d}")
+def step_took(context, limit_ms, silent_ms):
+    assert silent_ms == SILENT_AFTER_MS
+    assert context.took_ms <= limit_ms, context.took_ms
 
 
-def listener(context, backlog):
+def replace_b(context, backlog):
     sock = context.stack.enter_context(socket.socket())
-    sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, TINY_BUFFER)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, TINY_BUFFER_BYTES)
     sock.bind(("127.0.0.1", 0))
     sock.listen(backlog)
-    context.target = context.b.at(sock.getsockname()[1])
+    context.target = context.b.with_port(sock.getsockname()[1])
     return sock
 
 
-@given("a machine that accepts connections and reads nothing stands in for B")
-def step_deaf(context):
-    listener(context, 5)
+@given("a machine that accepts connections and reads nothing takes the place of B")
+def step_reads_nothing(context):
+    replace_b(context, 5)
     plain = AbortableProtocol.connection_made
 
     def with_small_buffer(self, transport):
         sock = transport.get_extra_info("socket")
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, TINY_BUFFER)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, TINY_BUFFER_BYTES)
         plain(self, transport)
 
     AbortableProtocol.connection_made = with_small_buffer
     context.stack.callback(setattr, AbortableProtocol, "connection_made", plain)
 
 
-@given("a machine whose queue of new connections is full stands in for B")
+@given("a machine whose queue of new connections is full takes the place of B")
 def step_full(context):
-    sock = listener(context, 0)
+    sock = replace_b(context, 0)
     for _ in range(3):
         filler = context.stack.enter_context(socket.socket())
         filler.setblocking(False)
@@ -182,13 +184,13 @@
     assert [call.hops for call in context.b.dispatch.calls] == [1]
 
 
-@when("peer node A steadily asks B to echo {count:d} words at once, the first slowly")
+@when("peer node A asks B on the shared stream to echo {count:d} texts at once, the first slowly")
 def step_at_once(context, count):
     context.answers = []
 
     async def ask(text):
         reply = await context.a.peers.ask(
-            context.target, STEADY, EchoMessage(text), timeout_ms=5_000
+            context.target, SHARED_ECHO, EchoMessage(text), timeout_ms=5_000
         )
         context.answers.append((text, reply.text))
         if len(context.answers) == count - 1:
@@ -204,8 +206,8 @@
     context.call(run)
 
 
-@then("every steady asker got its own word and the first came last")
-def step_own_word(context):
+@then("every request got its own reply and the first request's came last")
+def step_own_reply(context):
     assert len(context.answers) == context.count
     assert all(reply == f"vm-a said {text}" for text, reply in context.answers)
     assert context.answers[-1][0] == "slow"
@@ -221,25 +223,27 @@
         raise StreamClosedError(1)
 
 
-class Answering:
+class ImmediateHandler:
     async def on_ask(self, ask, certificate):
         return AskReply(body=b"x")
 
 
-@given("a peer server whose handlers answer at once")
+@given("a peer server whose handlers reply at once")
 def step_server(context):
-    context.server = context.call(lambda: PeerServer(Answering(), silent_after_ms=SILENT_MS))
+    context.server = context.call(
+        lambda: PeerServer(ImmediateHandler(), silent_after_ms=SILENT_AFTER_MS)
+    )
 
 
-@when("a steady reply finds its stream closed")
+@when("a reply is sent on a shared stream that is closed")
 def step_closed_stream(context):
     vm = VmId("vm-a", "1")
-    numbered = NumberedRequest(number=1, ask=AskRequest(sender=vm, to=vm, topic="t", body=b""))
+    request = NumberedRequest(number=1, ask=AskRequest(sender=vm, to=vm, topic="t", body=b""))
 
     async def run():
-        context.room = anyio.Semaphore(0, max_value=1)
+        context.slots = anyio.Semaphore(0, max_value=1)
         try:
-            await context.server._reply(ClosedStream(), numbered, anyio.Lock(), context.room)
+            await context.server._reply(ClosedStream(), request, anyio.Lock(), context.slots)
         except Exception as exc:
             return exc
 
@@ -249,4 +253,4 @@
 @then("the reply is dropped without an error")
 def step_dropped(context):
     assert context.raised is None, context.raised
-    assert context.room.value == 1
+    assert context.slots.value == 1
--- a/tests/steps/peers/transport_steps.py
+++ b/tests/steps/peers/transport_steps.py
@@ -165,7 +165,7 @@
     context.parts, context.error = context.call(run)
 
 
-@when("a peer sends node B a call that says hops {said:d}")
+@when("a peer sends node B a call marked with hops {said:d}")
 def step_forged(context, said):
     async def run():
         address = Address("127.0.0.1", context.b.peers.port)
@@ -181,7 +181,7 @@
     return ",".join(part.data.decode() for part in parts if isinstance(part, ResponseChunk))
 
 
-@then('the forwarded answer is "{chunks}" with its end')
+@then('the forwarded response is "{chunks}" and complete')
 def step_whole(context, chunks):
     assert context.error is None, context.error
     assert body(context.parts) == chunks
@@ -189,13 +189,13 @@
     assert context.parts[-1].usage.total == 7
 
 
-@then('the forwarded answer is "" and fails with {kind}, ran {ran}')
+@then('the forwarded response is "" and fails with {kind}, ran {ran}')
 def step_refused(context, kind, ran):
     assert context.parts == [], context.parts
     step_fails(context, kind, ran)
 
 
-@then('the forwarded answer is "{chunks}" and fails with {kind}, ran {ran}')
+@then('the forwarded response is "{chunks}" and fails with {kind}, ran {ran}')
 def step_broken(context, chunks, kind, ran):
     assert body(context.parts) == chunks, context.parts
     assert not any(isinstance(part, ResponseEnd) for part in context.parts)
@@ -230,7 +230,7 @@
     context.parts, context.error = context.call(run)
 
 
-@then("the task of the forwarded call's caller is not left as cancelled")
+@then("the task of the forwarded call's caller is not left marked as cancelled")
 def step_not_cancelled(context):
     assert context.cancelling == 0
 
@@ -275,7 +275,7 @@
     assert 0 < context.b.dispatch.produced < count, context.b.dispatch.produced
 
 
-@then("the rest of the forwarded answer comes whole with {count:d} chunks")
+@then("the rest of the forwarded response is complete with {count:d} chunks")
 def step_rest(context, count):
     parts, error = context.call(collect, context.answer)
     assert error is None, error
@@ -289,7 +289,7 @@
         async with anyio.create_task_group() as tg:
             for _ in range(count):
                 tg.start_soon(collect, context.a.peers.forward(make_call(), context.b.vm))
-            # Ends a hung run; how soon they run is not the question.
+            # Ends a hung run; the time until the calls run is not checked.
             with anyio.move_on_after(30):
                 while context.b.dispatch.produced < count:
                     await anyio.sleep(0.01)
@@ -304,11 +304,11 @@
     assert context.at_once == count, context.at_once
 
 
-@given("peer node B's view {view}")
-def step_view(context, view):
+@given("peer node B's configuration {change}")
+def step_config(context, change):
     withdrawn = ObjectRef(ObjectKind.KEY.value, "d")
     full = home_state(position=5)
-    match view:
+    match change:
         case "stays behind":
             fetched = None
         case "catches up to residency elsewhere":
@@ -320,17 +320,17 @@
             fetched = replace(full, objects=kept)
         case "catches up to a withdrawn key":
             fetched = replace(full, objects={**full.objects, withdrawn: Versioned(2, None)})
-        case "catches up to the same":
+        case "catches up to an unchanged one":
             key = ClientKey(name="d", account="tour")
             fetched = replace(full, objects={**full.objects, withdrawn: Versioned(2, key)})
         case _:
-            raise AssertionError(view)
+            raise AssertionError(change)
     context.b.config.fetched = fetched
 
 
 @given("peer node B's dispatch waits before its second chunk")
 def step_waits(context):
-    context.b.dispatch.go = context.call(anyio.Event)
+    context.b.dispatch.resume = context.call(anyio.Event)
 
 
 @when("peer node A forwards a call to B, B is drained, and A forwards another call")
@@ -355,7 +355,7 @@
             await anyio.sleep(0.1)
             context.drained_early = context.drained
             context.second = await collect(context.a.peers.forward(make_call(), context.b.vm))
-            context.b.dispatch.go.set()
+            context.b.dispatch.resume.set()
 
     context.call(run)
 
@@ -369,6 +369,6 @@
     assert (error.kind, error.ran) == (ErrorKind.DRAINING, Ran.NO)
 
 
-@then('the first forwarded answer is "{chunks}" with its end')
+@then('the first forwarded response is "{chunks}" and complete')
 def step_first_whole(context, chunks):
     step_whole(context, chunks)
--- a/tests/support/peer_nodes.py
+++ b/tests/support/peer_nodes.py
@@ -1,4 +1,4 @@
-"""Small nodes with a real ``peers`` service over loopback and fakes for its neighbours."""
+"""Nodes with a real ``peers`` service over loopback and fakes of the other services."""
 
 from __future__ import annotations
 
@@ -118,7 +118,7 @@
 
 
 class FakeDispatch(Service):
-    """Yields a set answer and records the calls; ``plan`` says what goes wrong and when."""
+    """Yields a fixed response and records the calls; ``plan`` selects what fails and when."""
 
     name = "dispatch"
 
@@ -127,8 +127,8 @@
         self.produced = 0
         self.closed = anyio.Event()
         self.plan = "whole"
-        self.go = anyio.Event()
-        self.go.set()
+        self.resume = anyio.Event()
+        self.resume.set()
         self.chunks = (b"one", b"two", b"three")
 
     async def run(self, call):
@@ -144,7 +144,7 @@
             for data in self.chunks:
                 self.produced += 1
                 yield ResponseChunk(data, tokens=1)
-                await self.go.wait()
+                await self.resume.wait()
                 if self.plan == "stall":
                     await anyio.sleep_forever()
                 if self.plan == "crash":
@@ -159,7 +159,7 @@
 
 
 class Node:
-    """One entry VM of a test: the kernel runs it until ``stop``."""
+    """An entry VM that runs in its own kernel until ``kill``."""
 
     def __init__(
         self, name="vm-a", region="dakar", *, state=None, port=0, peers=None, incarnation="1"
@@ -192,8 +192,8 @@
     def vm(self):
         return self.members.vm
 
-    def at(self, port):
-        """This VM as reached through another port, such as a relay's."""
+    def with_port(self, port):
+        """Return this VM's record with another peer port, such as a relay's."""
         return replace(self.vm, peer_port=port)
 
     @asynccontextmanager
@@ -209,20 +209,20 @@
         async with anyio.create_task_group() as tg:
             tg.start_soon(run)
             await ready.wait()
-            self.members.vm = self.at(self.peers.port)
+            self.members.vm = self.with_port(self.peers.port)
             yield self
             self.kill()
 
 
 async def collect(parts):
-    """Return the parts that came and the error that ended them."""
-    got = []
+    """Return the parts received and the error that ended them, if any."""
+    received = []
     try:
         async for part in parts:
-            got.append(part)  # noqa: PERF401 - what came before an error is kept
+            received.append(part)  # noqa: PERF401 - the parts before an error are kept
     except GatewayError as exc:
-        return got, exc
-    return got, None
+        return received, exc
+    return received, None
 
 
 @dataclass(frozen=True, slots=True)
