--- a/src/hickorybeam/peers/connections.py
+++ b/src/hickorybeam/peers/connections.py
@@ -1,8 +1,8 @@
 """Pool of connections to peers: a few HTTP/2 channels for each address, replaced after silence.
 
 A TCP connection can go silent for good while a new one works, because a device between the two
-ends has lost its state. Keep-alive pings detect this while calls are open, and so does a call's own
-timeout; the channel is then never used again.
+ends has lost its state. Keep-alive pings detect this while calls are open, a call's own timeout
+detects it at once, and the channel is then never used again.
 """
 
 from __future__ import annotations
--- a/src/hickorybeam/peers/heartbeat.py
+++ b/src/hickorybeam/peers/heartbeat.py
@@ -28,8 +28,8 @@
     """One region's load forecast for one model or service.
 
     ``stamp`` is the wall time at the VM that made it; the later one wins. It is encoded as an array
-    of whole numbers: at 32 models in two regions the field names alone would exceed a VM's 14 KB a
-    second.
+    of whole numbers: at 32 models in two regions the field names alone would exceed the 14 KB a
+    second of a VM.
     """
 
     region: str
--- a/src/hickorybeam/peers/members.py
+++ b/src/hickorybeam/peers/members.py
@@ -53,7 +53,7 @@
 
 __all__ = ("MembersService",)
 
-PARTNER_INTERVAL_HEARTBEATS = 2
+OTHER_PARTNER_INTERVAL_HEARTBEATS = 2
 SILENT_RETRY_INTERVAL_HEARTBEATS = 10
 PRUNE_INTERVAL_HEARTBEATS = 20
 # The registry is read by one VM of each data centre, and by any that is alone in its own.
@@ -283,9 +283,9 @@
         local = self._partners.local_partners()
         if local:
             self._start_heartbeat(local[0])
-        if len(local) > 1 and self._tick_count % PARTNER_INTERVAL_HEARTBEATS == 0:
+        if len(local) > 1 and self._tick_count % OTHER_PARTNER_INTERVAL_HEARTBEATS == 0:
             self._start_heartbeat(
-                local[1 + self._tick_count // PARTNER_INTERVAL_HEARTBEATS % (len(local) - 1)]
+                local[1 + self._tick_count // OTHER_PARTNER_INTERVAL_HEARTBEATS % (len(local) - 1)]
             )
         if self._tick_count % REMOTE_INTERVAL_HEARTBEATS == 0:
             for vm in self._partners.remote_partners(self._clock.now()):
--- a/tests/peers/decisions.feature
+++ b/tests/peers/decisions.feature
@@ -53,9 +53,9 @@
 
     Examples:
       | age  | how           | asked |
-      | 100  | not answering | no    |
-      | 1999 | not answering | no    |
-      | 2000 | not answering | yes   |
+      | 100  | not replying  | no    |
+      | 1999 | not replying  | no    |
+      | 2000 | not replying  | yes   |
       | 10   | refusing      | yes   |
 
   Scenario Outline: Which entry VMs a caller is sent
--- a/tests/peers/membership.feature
+++ b/tests/peers/membership.feature
@@ -66,7 +66,7 @@
 
     Examples:
       | fault                             |
-      | names VMs that are long gone      |
+      | names VMs that left long ago      |
       | names earlier incarnations of all VMs    |
       | names only one VM                 |
       | holds an entry that is not a VM   |
--- a/tests/peers/transport.feature
+++ b/tests/peers/transport.feature
@@ -9,7 +9,7 @@
     # The other VM refuses, for example as a lender of rate or as the VM that runs a call. The
     # caller must get the same kind and the same value of ``ran`` as for a refusal by its own VM.
     Given two peer nodes
-    And peer node B answers the topic with error <kind> and ran <ran>
+    And peer node B replies to the topic with error <kind> and ran <ran>
     When peer node A asks B to echo "salaam"
     Then the peer call fails with <kind>, ran <ran>, retry after 70
 
@@ -32,10 +32,10 @@
       | fault                            | kind             | ran     |
       | has stopped listening            | peer_unreachable | no      |
       | has restarted at the same port   | peer_unreachable | no      |
-      | never answers the topic          | peer_unreachable | unknown |
+      | never replies to the topic       | peer_unreachable | unknown |
       | does not know the topic          | bad_request      | no      |
       | crashes in the topic's handler   | internal         | unknown |
-      | answers with another type        | internal         | unknown |
+      | replies with another type        | internal         | unknown |
 
   Scenario: A forwarded call runs at the peer and its whole response is returned
     Given two peer nodes
--- a/tests/steps/peers/decision_steps.py
+++ b/tests/steps/peers/decision_steps.py
@@ -109,7 +109,7 @@
             sender.on_reply(receiver.own_vm.id, request, reply, now_ms=self.now, wall_ms=self.now)
 
     @rule(source=st.sampled_from(NAMES), to=st.sampled_from(NAMES), lose=st.booleans())
-    def beat(self, source, to, lose):
+    def heartbeat(self, source, to, lose):
         self.now += 10
         if source != to:
             self.send(source, to, lose_reply=lose)
@@ -392,9 +392,9 @@
     context.one.publish("position", b"2", urgent=False)
     newer = context.one.next_heartbeat(context.other.own_vm)
     context.notes = []
-    for beat in (newer, older):
-        _, news = context.other.on_request(context.one.own_vm.id, beat, now_ms=2, wall_ms=2)
-        context.notes += [note.data for note in news.notes]
+    for heartbeat in (newer, older):
+        _, updates = context.other.on_request(context.one.own_vm.id, heartbeat, now_ms=2, wall_ms=2)
+        context.notes += [note.data for note in updates.notes]
 
 
 @then("the other received only the newer note")
--- a/tests/steps/peers/membership_steps.py
+++ b/tests/steps/peers/membership_steps.py
@@ -89,11 +89,11 @@
 
 @when('fleet VM "{name}" publishes an urgent note')
 def step_note(context, name):
-    context.heard = {}
+    context.received = {}
 
     def listen(member):
         def listener(vm, data):
-            context.heard.setdefault(member.id.name, []).append((vm.id.name, data))
+            context.received.setdefault(member.id.name, []).append((vm.id.name, data))
 
         member.members.subscribe("position", listener)
 
@@ -109,8 +109,10 @@
 @then('every other VM of "{data_centre}" receives the note exactly once')
 def step_heard(context, data_centre):
     names = {member.id.name for member in of(context, data_centre)} - {context.publisher}
-    context.call(until, lambda: names <= set(context.heard))
-    assert all(context.heard[name] == [(context.publisher, b"7")] for name in names), context.heard
+    context.call(until, lambda: names <= set(context.received))
+    assert all(context.received[name] == [(context.publisher, b"7")] for name in names), (
+        context.received
+    )
 
 
 @when('the note of "{name}" reaches "{other}" again, with a later change')
@@ -119,7 +121,7 @@
         sender = context.fleet.members[name]
         receiver = context.fleet.members[other]
         sync = receiver.members._gossip._sync_states[sender.id]
-        beat = Heartbeat(
+        heartbeat = Heartbeat(
             have=0,
             seq=sync.received_seq + 1,
             digest=0,
@@ -127,7 +129,7 @@
             whole=False,
             notes={"position": b"7"},
         )
-        await receiver.members._on_heartbeat(sender.id, beat)
+        await receiver.members._on_heartbeat(sender.id, heartbeat)
 
     context.call(run)
 
--- a/tests/steps/peers/partition_steps.py
+++ b/tests/steps/peers/partition_steps.py
@@ -38,7 +38,7 @@
 def step_registry_fault(context, fault):
     running = [member.members.own_vm for member in context.fleet.members.values()]
     match fault:
-        case "names VMs that are long gone":
+        case "names VMs that left long ago":
             vms = [*running, *(dead_vm(number, "000-1") for number in range(50, 60))]
         case "names earlier incarnations of all VMs":
             vms = [replace(vm, id=VmId(vm.id.name, "000000000001-1")) for vm in running]
--- a/tests/steps/peers/silent_steps.py
+++ b/tests/steps/peers/silent_steps.py
@@ -80,8 +80,8 @@
 def timed(context, call):
     async def run():
         took = Stopwatch()
-        got = await collect(context.a.peers.forward(call, context.target))
-        return *got, round(took.elapsed_ms())
+        received = await collect(context.a.peers.forward(call, context.target))
+        return *received, round(took.elapsed_ms())
 
     context.parts, context.error, context.took_ms = context.call(run)
 
@@ -99,19 +99,19 @@
 @when("peer node A forwards a call to B and the relay goes silent after the first chunk")
 def step_goes_silent(context):
     async def run():
-        got = []
+        received = []
         took = Stopwatch()
         try:
             async with aclosing(context.a.peers.forward(make_call(), context.target)) as parts:
                 async for part in parts:
-                    got.append(part)
+                    received.append(part)
                     if isinstance(part, ResponseChunk):
                         await context.relay.drop_bytes_of_open()
                         took = Stopwatch()
         except GatewayError as exc:
             context.error = exc
         context.took_ms = round(took.elapsed_ms())
-        context.parts = got
+        context.parts = received
 
     context.call(run)
 
@@ -186,14 +186,14 @@
 
 @when("peer node A asks B on the shared stream to echo {count:d} texts at once, the first slowly")
 def step_at_once(context, count):
-    context.answers = []
+    context.replies = []
 
     async def ask(text):
         reply = await context.a.peers.ask(
             context.target, SHARED_ECHO, EchoMessage(text), timeout_ms=5_000
         )
-        context.answers.append((text, reply.text))
-        if len(context.answers) == count - 1:
+        context.replies.append((text, reply.text))
+        if len(context.replies) == count - 1:
             context.others_answered.set()
 
     async def run():
@@ -208,9 +208,9 @@
 
 @then("every request got its own reply and the first request's came last")
 def step_own_reply(context):
-    assert len(context.answers) == context.count
-    assert all(reply == f"vm-a said {text}" for text, reply in context.answers)
-    assert context.answers[-1][0] == "slow"
+    assert len(context.replies) == context.count
+    assert all(reply == f"vm-a said {text}" for text, reply in context.replies)
+    assert context.replies[-1][0] == "slow"
 
 
 class ClosedStream:
--- a/tests/steps/peers/transport_steps.py
+++ b/tests/steps/peers/transport_steps.py
@@ -33,30 +33,30 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Other:
+class OtherReply:
     number: int
 
 
 @given("two peer nodes")
 def step_two_nodes(context):
-    async def echo(sender: VmId, words: EchoMessage) -> EchoMessage:
-        return EchoMessage(f"{sender.name} said {words.text}")
+    async def echo(sender: VmId, message: EchoMessage) -> EchoMessage:
+        return EchoMessage(f"{sender.name} said {message.text}")
 
     context.handler = echo
     context.a = enter(context, context.call(lambda: Node("vm-a")).running())
     context.b = context.call(lambda: Node("vm-b", "thies"))
 
-    async def handle(sender, words):
-        return await context.handler(sender, words)
+    async def handle(sender, message):
+        return await context.handler(sender, message)
 
     context.b.peers.serve(ECHO, handle)
     context.b_running = context.b.running()
     enter(context, context.b_running)
 
 
-@given("peer node B answers the topic with error {kind} and ran {ran}")
+@given("peer node B replies to the topic with error {kind} and ran {ran}")
 def step_topic_error(context, kind, ran):
-    async def refuse(sender, words):
+    async def refuse(sender, message):
         raise GatewayError(ErrorKind(kind), ran=Ran(ran), retry_after_ms=70)
 
     context.handler = refuse
@@ -64,14 +64,14 @@
 
 @given("peer node B {fault}")
 def step_fault(context, fault):
-    async def hang(sender, words):
+    async def hang(sender, message):
         await anyio.sleep_forever()
 
-    async def crash(sender, words):
+    async def crash(sender, message):
         raise RuntimeError("a fault in a handler")
 
-    async def other(sender, words):
-        return Other(3)
+    async def other(sender, message):
+        return OtherReply(3)
 
     async def stop():
         context.b.kernel.stop()
@@ -84,13 +84,13 @@
         case "has restarted at the same port":
             context.old_vm = context.b.vm
             context.b.members.vm = replace(context.b.vm, id=VmId("vm-b", "2"))
-        case "never answers the topic":
+        case "never replies to the topic":
             context.handler = hang
         case "does not know the topic":
             context.b.peers._handlers.clear()
         case "crashes in the topic's handler":
             context.handler = crash
-        case "answers with another type":
+        case "replies with another type":
             context.handler = other
         case _:
             raise AssertionError(fault)
@@ -215,17 +215,17 @@
 @when("peer node A forwards a call to B and B dies after the first chunk")
 def step_dies(context):
     async def run():
-        got = []
+        received = []
         try:
             async with aclosing(context.a.peers.forward(make_call(), context.b.vm)) as parts:
                 async for part in parts:
-                    got.append(part)
+                    received.append(part)
                     if isinstance(part, ResponseChunk):
                         context.b.kill()
         except GatewayError as exc:
             context.cancelling = asyncio.current_task().cancelling()
-            return got, exc
-        return got, None
+            return received, exc
+        return received, None
 
     context.parts, context.error = context.call(run)
 
@@ -258,8 +258,8 @@
 @when("peer node A forwards a call to B and reads only the first chunk")
 def step_reads_one(context):
     async def run():
-        context.answer = context.a.peers.forward(make_call(), context.b.vm)
-        async for part in context.answer:
+        context.response = context.a.peers.forward(make_call(), context.b.vm)
+        async for part in context.response:
             if isinstance(part, ResponseChunk):
                 break
         before = -1
@@ -277,7 +277,7 @@
 
 @then("the rest of the forwarded response is complete with {count:d} chunks")
 def step_rest(context, count):
-    parts, error = context.call(collect, context.answer)
+    parts, error = context.call(collect, context.response)
     assert error is None, error
     assert sum(isinstance(part, ResponseChunk) for part in parts) == count - 1
     assert isinstance(parts[-1], ResponseEnd)
