--- a/src/hickorybeam/dispatch/messages.py
+++ b/src/hickorybeam/dispatch/messages.py
@@ -1,4 +1,4 @@
-"""Messages to the task that owns the load policy's state."""
+"""Messages to the scheduler task, which owns the load policy's state."""
 
 from __future__ import annotations
 
@@ -11,14 +11,23 @@
     from hickorybeam.kernel import Reply
     from hickorybeam.policy.job import Decision, Job, Outcome
 
-__all__ = ("Begun", "Done", "Ended", "Message", "Offer", "PeerEnded", "Retry", "Tick")
+__all__ = (
+    "CallEnded",
+    "FirstToken",
+    "ForwardEnded",
+    "Offer",
+    "Retry",
+    "RunEnded",
+    "SchedulerMessage",
+    "Tick",
+)
 
 
 @dataclass(frozen=True, slots=True)
 class Offer:
-    """A new job; the reply comes when it starts, is sent elsewhere or is refused.
+    """A new job; the reply comes when it starts, is spilled or is refused.
 
-    ``recall`` interrupts its run on a server that turns out to be slow.
+    ``recall`` cancels its run on a server that turns out to be slow.
     """
 
     job: Job
@@ -28,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Retry:
-    """A job to start again elsewhere; the reply is ``None`` when nothing else takes it."""
+    """A failed job to start elsewhere; the reply is ``None`` if nothing else accepts it."""
 
     job: Job
     tried: frozenset[str]
@@ -36,41 +45,41 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Begun:
-    """A job's first token came."""
+class FirstToken:
+    """The first token of a job's response arrived."""
 
     job: Job
     backend: str
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
+class RunEnded:
     """A run on a backend server ended."""
 
     job: Job
     backend: str
     outcome: Outcome
-    used: int
+    used_tokens: int
 
 
 @dataclass(frozen=True, slots=True)
-class PeerEnded:
-    """A forwarded call was answered by its region, or not."""
+class ForwardEnded:
+    """A forwarded call ended; ``responded`` is false if its region could not handle it."""
 
     region: str
-    answered: bool
+    responded: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Done:
-    """A call is over, however it ended."""
+class CallEnded:
+    """A call ended, for whatever reason."""
 
     job: Job
 
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """Time to look at configuration, reports and what waits."""
+    """Triggers the periodic check of configuration, load reports and queued jobs."""
 
 
-Message = Offer | Retry | Begun | Ended | PeerEnded | Done | Tick
+SchedulerMessage = Offer | Retry | FirstToken | RunEnded | ForwardEnded | CallEnded | Tick
--- a/src/hickorybeam/front/directory.py
+++ b/src/hickorybeam/front/directory.py
@@ -1,4 +1,4 @@
-"""Handlers that tell callers what there is: models, entry VMs, idempotency keys."""
+"""Handlers for models, entry VMs, idempotency keys and the health check."""
 
 from __future__ import annotations
 
@@ -9,69 +9,70 @@
 from hickorybeam.errors import ErrorKind, GatewayError
 
 if TYPE_CHECKING:
-    from hickorybeam.front.gate import Gate
+    from hickorybeam.front.context import FrontContext
     from hickorybeam.front.request import Request
 
 __all__ = ("entries", "health", "idempotency_keys", "models")
 
-MOST_KEYS = 1_000
-SMALL_BODY = 10_000
-FOUNDED_S = 1_700_000_000
+MAX_KEYS = 1_000
+MAX_BODY_BYTES = 10_000
+# The published API requires a creation time for each model.
+MODEL_CREATED_S = 1_700_000_000
 
 
-class _KeysWanted(msgspec.Struct):
+class _KeysRequest(msgspec.Struct):
     count: int = 1
 
 
-async def models(gate: Gate, req: Request) -> None:
-    """``GET /v1/models``: the models that the account may use."""
-    account = gate.identity(req).account
+async def models(context: FrontContext, req: Request) -> None:
+    """``GET /v1/models``: list the models that the account may use."""
+    account = context.authenticate(req).account
     names = [
         name
-        for name in sorted(gate.config.current().models)
+        for name in sorted(context.config.current().models)
         if not account.models or name in account.models
     ]
     data = [
-        {"id": name, "object": "model", "created": FOUNDED_S, "owned_by": "hickorybeam"}
+        {"id": name, "object": "model", "created": MODEL_CREATED_S, "owned_by": "hickorybeam"}
         for name in names
     ]
-    await req.json(200, {"object": "list", "data": data})
+    await req.respond_json(200, {"object": "list", "data": data})
 
 
-async def entries(gate: Gate, req: Request) -> None:
-    """``GET /v1/entries``: the VMs to use, best first, and how long the list is good for."""
-    identity = gate.identity(req)
-    if identity.allowed is None:
+async def entries(context: FrontContext, req: Request) -> None:
+    """``GET /v1/entries``: list the VMs to use, best first, with the list's validity."""
+    identity = context.authenticate(req)
+    if identity.allowed_regions is None:
         raise GatewayError(ErrorKind.RESIDENCY_UNKNOWN)
-    found = gate.entries(identity, address=req.address)
+    found = context.entries_for(identity, client_address=req.client_address)
     listed = [
         {"address": vm.http_address, "region": vm.region, "data_centre": vm.data_centre}
         for vm in found
     ]
-    valid_ms = gate.cfg.front.entries_valid_ms
-    await req.json(200, {"entries": listed, "valid_ms": valid_ms})
+    valid_ms = context.cfg.front.entries_valid_ms
+    await req.respond_json(200, {"entries": listed, "valid_ms": valid_ms})
 
 
-async def idempotency_keys(gate: Gate, req: Request) -> None:
-    """``POST /v1/idempotency-keys``: keys that this VM will run at most once."""
-    identity = gate.admit(req)
-    raw = await req.body(gate.memory, limit=SMALL_BODY)
+async def idempotency_keys(context: FrontContext, req: Request) -> None:
+    """``POST /v1/idempotency-keys``: issue keys; a call with one runs at most once."""
+    identity = context.admit(req)
+    raw = await req.body(context.memory, limit=MAX_BODY_BYTES)
     try:
-        wanted = msgspec.json.decode(raw or b"{}", type=_KeysWanted)
+        keys_request = msgspec.json.decode(raw or b"{}", type=_KeysRequest)
     except (msgspec.DecodeError, UnicodeDecodeError) as exc:
         raise GatewayError(ErrorKind.BAD_REQUEST, 'expected {"count": number}') from exc
-    if not 1 <= wanted.count <= MOST_KEYS:
-        raise GatewayError(ErrorKind.BAD_REQUEST, f"count must be from 1 to {MOST_KEYS}")
-    if gate.once is None:
-        raise gate.elsewhere(ErrorKind.NOT_READY, identity.allowed)
-    keys = gate.once.issue(identity.account.name, wanted.count)
-    await req.json(200, {"keys": keys})
-
-
-async def health(gate: Gate, req: Request) -> None:
-    """``GET /healthz``: whether this VM takes work; the only call that needs no key."""
-    if gate.draining:
-        raise gate.elsewhere(ErrorKind.DRAINING)
-    if not gate.config.current().position:
-        raise gate.elsewhere(ErrorKind.NOT_READY)
-    await req.json(200, {"status": "serving"})
+    if not 1 <= keys_request.count <= MAX_KEYS:
+        raise GatewayError(ErrorKind.BAD_REQUEST, f"count must be from 1 to {MAX_KEYS}")
+    if context.once is None:
+        raise context.redirect_error(ErrorKind.NOT_READY, identity.allowed_regions)
+    keys = context.once.issue(identity.account.name, keys_request.count)
+    await req.respond_json(200, {"keys": keys})
+
+
+async def health(context: FrontContext, req: Request) -> None:
+    """``GET /healthz``: report whether this VM accepts calls; the only path without a key."""
+    if context.draining:
+        raise context.redirect_error(ErrorKind.DRAINING)
+    if not context.config.current().position:
+        raise context.redirect_error(ErrorKind.NOT_READY)
+    await req.respond_json(200, {"status": "serving"})
--- a/src/hickorybeam/front/refusals.py
+++ b/src/hickorybeam/front/refusals.py
@@ -1,4 +1,4 @@
-"""The one JSON shape of every refusal."""
+"""Refusals: the JSON and headers of every error response."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 
 MS_PER_SECOND = 1000
 DEFAULT_RETRY_AFTER_MS = 1_000
-FIRST_SERVER_ERROR = 500
-TYPES = {
+MIN_SERVER_ERROR_STATUS = 500
+ERROR_TYPES = {
     400: "invalid_request_error",
     401: "authentication_error",
     403: "permission_error",
@@ -41,17 +41,17 @@
 def refusal_body(exc: GatewayError, *, param: str | None = None) -> bytes:
     """Return the JSON of a refusal.
 
-    :param param: the field of the request that is at fault, as the published API has it.
+    :param param: name of the invalid request field, as in the published API.
     """
-    answer = error_response(exc.kind)
-    message = f"{answer.text}: {exc.detail}" if exc.detail else answer.text
+    response = error_response(exc.kind)
+    message = f"{response.text}: {exc.detail}" if exc.detail else response.text
     error = _Error(
         message=message,
-        type=error_type(answer.status),
+        type=error_type(response.status),
         param=param,
         code=exc.kind.value,
         ran=exc.ran.value,
-        retry=answer.retry.value,
+        retry=response.retry.value,
         retry_after_ms=retry_after_ms(exc),
         entries=exc.entries,
         faults=exc.faults,
@@ -60,14 +60,14 @@
 
 
 def error_type(status: int) -> str:
-    """Return the published API's name for an error of this status."""
-    if status >= FIRST_SERVER_ERROR:
+    """Return the published API's error type for a status."""
+    if status >= MIN_SERVER_ERROR_STATUS:
         return "server_error"
-    return TYPES.get(status, "invalid_request_error")
+    return ERROR_TYPES.get(status, "invalid_request_error")
 
 
 def retry_after_ms(exc: GatewayError) -> int | None:
-    """Return when a retry makes sense, if it ever does."""
+    """Return the time in ms before a retry, None if a retry cannot succeed."""
     if error_response(exc.kind).retry is Retry.NEVER:
         return None
     if exc.retry_after_ms is not None:
@@ -76,27 +76,27 @@
 
 
 def refusal_headers(exc: GatewayError) -> list[tuple[bytes, bytes]]:
-    """Return the headers of a refusal beside its length.
+    """Return the headers of a refusal, except its length.
 
-    Client libraries of the published API repeat any 5xx by themselves; ``x-should-retry``
-    stops them where a retry is useless here or could run the work twice.
+    Client libraries of the published API retry any 5xx by themselves; ``x-should-retry``
+    prevents that where a retry on this VM is useless or could run the call twice.
     """
     retry = error_response(exc.kind).retry
-    again = b"true" if retry is Retry.LATER else b"false"
-    headers = [(b"content-type", b"application/json"), (b"x-should-retry", again)]
-    after = retry_after_ms(exc)
-    if after is not None and retry is Retry.LATER:
-        headers.append((b"retry-after", b"%d" % -(-after // MS_PER_SECOND)))
+    should_retry = b"true" if retry is Retry.LATER else b"false"
+    headers = [(b"content-type", b"application/json"), (b"x-should-retry", should_retry)]
+    retry_ms = retry_after_ms(exc)
+    if retry_ms is not None and retry is Retry.LATER:
+        headers.append((b"retry-after", b"%d" % -(-retry_ms // MS_PER_SECOND)))
     return headers
 
 
 def error_event(exc: GatewayError) -> bytes:
-    """Return the server-sent event that ends a stream which cannot go on."""
+    """Return the server-sent event that ends a broken stream."""
     return b"event: error\ndata: " + refusal_body(exc) + b"\n\n"
 
 
 def raw_refusal(exc: GatewayError) -> bytes:
-    """Return a whole HTTP answer, for connections on which no request could be read."""
+    """Return a complete HTTP response, for connections on which no request could be read."""
     body = refusal_body(exc)
     status = error_response(exc.kind).status
     lines = [b"HTTP/1.1 %d %s" % (status, http.HTTPStatus(status).phrase.encode())]
--- a/src/hickorybeam/front/service.py
+++ b/src/hickorybeam/front/service.py
@@ -1,4 +1,4 @@
-"""The service ``front``: the HTTP server that callers and operators speak to."""
+"""The service ``front``: the HTTP server for callers and operators."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 import anyio
 
 from hickorybeam.front import routes
-from hickorybeam.front.gate import Gate
-from hickorybeam.front.memory import MemoryGate
-from hickorybeam.front.protocol import CallerProtocol, Guard
+from hickorybeam.front.context import FrontContext
+from hickorybeam.front.memory import MemoryBudget
+from hickorybeam.front.protocol import CallerProtocol, ConnectionLimits
 from hickorybeam.front.request import Request
 from hickorybeam.httpserve import serve_app
 from hickorybeam.kernel import Service
@@ -39,12 +39,12 @@
 
 __all__ = ("FrontService",)
 
-TICK_MS = 100
+WATCHDOG_TICK_MS = 100
 DRAIN_POLL_MS = 20
-# Callers hold lists of VMs and connections that still lead here; for this long they get a
-# refusal that names other VMs, where a closed port would tell them nothing.
+# While draining, callers that still have this VM in their list or a connection to it get a refusal
+# that lists other VMs for this long; a closed port could not redirect them.
 DRAIN_LINGER_MS = 500
-ID_BYTES = 6
+ID_PREFIX_BYTES = 6
 
 
 class FrontService(Service):
@@ -57,15 +57,15 @@
         self._cfg = cfg
         self._clock = clock
         self._counters = counters
-        self._watchdog = Watchdog(clock, tick_ms=TICK_MS)
-        self._guard = Guard(cfg.front, self._watchdog, self._count_refusal)
-        self._memory = MemoryGate(cfg.front.memory_bytes)
-        self._prefix = secrets.token_hex(ID_BYTES)
-        self._numbers = itertools.count(1)
+        self._watchdog = Watchdog(clock, tick_ms=WATCHDOG_TICK_MS)
+        self._connection_limits = ConnectionLimits(cfg.front, self._watchdog, self._count_refusal)
+        self._memory = MemoryBudget(cfg.front.memory_bytes)
+        self._id_prefix = secrets.token_hex(ID_PREFIX_BYTES)
+        self._request_numbers = itertools.count(1)
         self._in_flight = 0
         self._port = 0
         open_connections = counters.gauge("caller_connections", "Open connections of callers")
-        open_connections.set_function(lambda: len(self._guard.conns))
+        open_connections.set_function(lambda: len(self._connection_limits.conns))
         in_flight = counters.gauge("requests_in_flight", "Requests being answered")
         in_flight.set_function(lambda: self._in_flight)
         held = counters.gauge("request_memory_bytes", "Memory reserved for requests")
@@ -73,17 +73,17 @@
 
     @property
     def port(self) -> int:
-        """The port it really listens on, 0 before it does."""
+        """The actual port, 0 before the service listens."""
         return self._port
 
     def bind(self, kernel: Kernel) -> None:
-        """Look up neighbours; without members there are no other VMs to name."""
+        """Look up the services that handlers use; without members, refusals list no other VMs."""
         members = once = None
         if kernel.has(MEMBERS):
             members = kernel.find(MEMBERS, Members)  # type: ignore[type-abstract]
         if kernel.has(ONCE):
             once = kernel.find(ONCE, IdempotentCalls)  # type: ignore[type-abstract]
-        self._gate = Gate(
+        self._context = FrontContext(
             cfg=self._cfg,
             clock=self._clock,
             counters=self._counters,
@@ -100,7 +100,7 @@
         vm = self._cfg.vm
         async with anyio.create_task_group() as tg:
             tg.start_soon(self._watchdog.run)
-            protocol = functools.partial(CallerProtocol, guard=self._guard)
+            protocol = functools.partial(CallerProtocol, limits=self._connection_limits)
             async with serve_app(
                 self,
                 host=vm.host,
@@ -109,37 +109,37 @@
                 keep_alive_ms=self._cfg.front.idle_ms,
             ) as listener:
                 self._port = listener.port
-                if self._gate.members is not None:
-                    self._gate.members.announce_serving(http_port=listener.port)
+                if self._context.members is not None:
+                    self._context.members.announce_serving(http_port=listener.port)
                 started()
                 await anyio.sleep_forever()
 
     async def drain(self) -> None:
-        """Refuse new work and wait for what is in flight."""
-        if self._gate.members is not None:
-            self._gate.members.announce_leaving()
-        self._gate.draining = True
+        """Refuse new calls and wait for the requests in flight."""
+        if self._context.members is not None:
+            self._context.members.announce_leaving()
+        self._context.draining = True
         await self._clock.sleep(DRAIN_LINGER_MS)
-        # An answer that is written but not yet taken by its caller would be cut off too.
-        while self._in_flight or self._guard.unflushed():
+        # A response that is written but not yet read by its caller would be cut off, too.
+        while self._in_flight or self._connection_limits.has_unsent_data():
             await self._clock.sleep(DRAIN_POLL_MS)
 
     def status(self) -> dict[str, object]:
-        """Tell of connections, requests and memory."""
+        """Return counts of connections and requests, and the reserved memory."""
         return {
-            "connections": len(self._guard.conns),
+            "connections": len(self._connection_limits.conns),
             "in_flight": self._in_flight,
             "memory_bytes": self._memory.used,
-            "draining": self._gate.draining,
+            "draining": self._context.draining,
         }
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Answer one request as an ASGI app."""
-        request_id = f"{self._prefix}{next(self._numbers):x}"
+        """Handle one request as an ASGI app."""
+        request_id = f"{self._id_prefix}{next(self._request_numbers):x}"
         req = Request(scope, receive, send, request_id=request_id)
         self._in_flight += 1
         try:
-            await routes.answer(self._gate, req)
+            await routes.handle_request(self._context, req)
         finally:
             self._in_flight -= 1
 
