--- a/tests/steps/peers/transport_steps.py
+++ b/tests/steps/peers/transport_steps.py
@@ -33,30 +33,30 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Other:
+class OtherReply:
     number: int
 
 
 @given("two peer nodes")
 def step_two_nodes(context):
-    async def echo(sender: VmId, words: EchoMessage) -> EchoMessage:
-        return EchoMessage(f"{sender.name} said {words.text}")
+    async def echo(sender: VmId, message: EchoMessage) -> EchoMessage:
+        return EchoMessage(f"{sender.name} said {message.text}")
 
     context.handler = echo
     context.a = enter(context, context.call(lambda: Node("vm-a")).running())
     context.b = context.call(lambda: Node("vm-b", "thies"))
 
-    async def handle(sender, words):
-        return await context.handler(sender, words)
+    async def handle(sender, message):
+        return await context.handler(sender, message)
 
     context.b.peers.serve(ECHO, handle)
     context.b_running = context.b.running()
     enter(context, context.b_running)
 
 
-@given("peer node B answers the topic with error {kind} and ran {ran}")
+@given("peer node B replies to the topic with error {kind} and ran {ran}")
 def step_topic_error(context, kind, ran):
-    async def refuse(sender, words):
+    async def refuse(sender, message):
         raise GatewayError(ErrorKind(kind), ran=Ran(ran), retry_after_ms=70)
 
     context.handler = refuse
@@ -64,14 +64,14 @@
 
 @given("peer node B {fault}")
 def step_fault(context, fault):
-    async def hang(sender, words):
+    async def hang(sender, message):
         await anyio.sleep_forever()
 
-    async def crash(sender, words):
+    async def crash(sender, message):
         raise RuntimeError("a fault in a handler")
 
-    async def other(sender, words):
-        return Other(3)
+    async def other(sender, message):
+        return OtherReply(3)
 
     async def stop():
         context.b.kernel.stop()
@@ -84,13 +84,13 @@
         case "has restarted at the same port":
             context.old_vm = context.b.vm
             context.b.members.vm = replace(context.b.vm, id=VmId("vm-b", "2"))
-        case "never answers the topic":
+        case "never replies to the topic":
             context.handler = hang
         case "does not know the topic":
             context.b.peers._handlers.clear()
         case "crashes in the topic's handler":
             context.handler = crash
-        case "answers with another type":
+        case "replies with another type":
             context.handler = other
         case _:
             raise AssertionError(fault)
@@ -165,7 +165,7 @@
     context.parts, context.error = context.call(run)
 
 
-@when("a peer sends node B a call that says hops {said:d}")
+@when("a peer sends node B a call marked with hops {said:d}")
 def step_forged(context, said):
     async def run():
         address = Address("127.0.0.1", context.b.peers.port)
@@ -181,7 +181,7 @@
     return ",".join(part.data.decode() for part in parts if isinstance(part, ResponseChunk))
 
 
-@then('the forwarded answer is "{chunks}" with its end')
+@then('the forwarded response is "{chunks}" and complete')
 def step_whole(context, chunks):
     assert context.error is None, context.error
     assert body(context.parts) == chunks
@@ -189,13 +189,13 @@
     assert context.parts[-1].usage.total == 7
 
 
-@then('the forwarded answer is "" and fails with {kind}, ran {ran}')
+@then('the forwarded response is "" and fails with {kind}, ran {ran}')
 def step_refused(context, kind, ran):
     assert context.parts == [], context.parts
     step_fails(context, kind, ran)
 
 
-@then('the forwarded answer is "{chunks}" and fails with {kind}, ran {ran}')
+@then('the forwarded response is "{chunks}" and fails with {kind}, ran {ran}')
 def step_broken(context, chunks, kind, ran):
     assert body(context.parts) == chunks, context.parts
     assert not any(isinstance(part, ResponseEnd) for part in context.parts)
@@ -215,22 +215,22 @@
 @when("peer node A forwards a call to B and B dies after the first chunk")
 def step_dies(context):
     async def run():
-        got = []
+        received = []
         try:
             async with aclosing(context.a.peers.forward(make_call(), context.b.vm)) as parts:
                 async for part in parts:
-                    got.append(part)
+                    received.append(part)
                     if isinstance(part, ResponseChunk):
                         context.b.kill()
         except GatewayError as exc:
             context.cancelling = asyncio.current_task().cancelling()
-            return got, exc
-        return got, None
+            return received, exc
+        return received, None
 
     context.parts, context.error = context.call(run)
 
 
-@then("the task of the forwarded call's caller is not left as cancelled")
+@then("the task of the forwarded call's caller is not left marked as cancelled")
 def step_not_cancelled(context):
     assert context.cancelling == 0
 
@@ -258,8 +258,8 @@
 @when("peer node A forwards a call to B and reads only the first chunk")
 def step_reads_one(context):
     async def run():
-        context.answer = context.a.peers.forward(make_call(), context.b.vm)
-        async for part in context.answer:
+        context.response = context.a.peers.forward(make_call(), context.b.vm)
+        async for part in context.response:
             if isinstance(part, ResponseChunk):
                 break
         before = -1
@@ -275,9 +275,9 @@
     assert 0 < context.b.dispatch.produced < count, context.b.dispatch.produced
 
 
-@then("the rest of the forwarded answer comes whole with {count:d} chunks")
+@then("the rest of the forwarded response is complete with {count:d} chunks")
 def step_rest(context, count):
-    parts, error = context.call(collect, context.answer)
+    parts, error = context.call(collect, context.response)
     assert error is None, error
     assert sum(isinstance(part, ResponseChunk) for part in parts) == count - 1
     assert isinstance(parts[-1], ResponseEnd)
@@ -289,7 +289,7 @@
         async with anyio.create_task_group() as tg:
             for _ in range(count):
                 tg.start_soon(collect, context.a.peers.forward(make_call(), context.b.vm))
-            # Ends a hung run; how soon they run is not the question.
+            # Ends a hung run; the time until the calls run is not checked.
             with anyio.move_on_after(30):
                 while context.b.dispatch.produced < count:
                     await anyio.sleep(0.01)
@@ -304,11 +304,11 @@
     assert context.at_once == count, context.at_once
 
 
-@given("peer node B's view {view}")
-def step_view(context, view):
+@given("peer node B's configuration {change}")
+def step_config(context, change):
     withdrawn = ObjectRef(ObjectKind.KEY.value, "d")
     full = home_state(position=5)
-    match view:
+    match change:
         case "stays behind":
             fetched = None
         case "catches up to residency elsewhere":
@@ -320,17 +320,17 @@
             fetched = replace(full, objects=kept)
         case "catches up to a withdrawn key":
             fetched = replace(full, objects={**full.objects, withdrawn: Versioned(2, None)})
-        case "catches up to the same":
+        case "catches up to an unchanged one":
             key = ClientKey(name="d", account="tour")
             fetched = replace(full, objects={**full.objects, withdrawn: Versioned(2, key)})
         case _:
-            raise AssertionError(view)
+            raise AssertionError(change)
     context.b.config.fetched = fetched
 
 
 @given("peer node B's dispatch waits before its second chunk")
 def step_waits(context):
-    context.b.dispatch.go = context.call(anyio.Event)
+    context.b.dispatch.resume = context.call(anyio.Event)
 
 
 @when("peer node A forwards a call to B, B is drained, and A forwards another call")
@@ -355,7 +355,7 @@
             await anyio.sleep(0.1)
             context.drained_early = context.drained
             context.second = await collect(context.a.peers.forward(make_call(), context.b.vm))
-            context.b.dispatch.go.set()
+            context.b.dispatch.resume.set()
 
     context.call(run)
 
@@ -369,6 +369,6 @@
     assert (error.kind, error.ran) == (ErrorKind.DRAINING, Ran.NO)
 
 
-@then('the first forwarded answer is "{chunks}" with its end')
+@then('the first forwarded response is "{chunks}" and complete')
 def step_first_whole(context, chunks):
     step_whole(context, chunks)
