--- a/src/hickorybeam/once/__init__.py
+++ b/src/hickorybeam/once/__init__.py
@@ -1,4 +1,4 @@
-"""Calls that carry an idempotency key run at most once."""
+"""Runs calls that carry an idempotency key at most once."""
 
 from __future__ import annotations
 
--- a/src/hickorybeam/once/attempt.py
+++ b/src/hickorybeam/once/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt at a call, which goes on when its caller is gone."""
+"""One attempt at a call, which continues after its caller has disconnected."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
     from hickorybeam.model import Call, ResponsePart
     from hickorybeam.ports import Dispatch
 
-__all__ = ("Attempt", "Ending")
+__all__ = ("Attempt", "AttemptOutcome")
 
-# Parts that wait for a slow caller before the backend server's answer is read no further.
-PARTS_AHEAD: Final = 16
+# Parts of the response buffered for a slow caller before reading from the backend server pauses.
+MAX_BUFFERED_PARTS: Final = 16
 
-# Answers up to this size are kept, to be given again; bookings and orders are far smaller.
-LARGEST_KEPT: Final = 65_536
+# Responses up to this size are stored for replay; those of bookings and orders are far smaller.
+MAX_STORED_RESPONSE_BYTES: Final = 65_536
 
 
-class Ending(Enum):
-    """How an attempt ended, as far as the key is concerned."""
+class AttemptOutcome(Enum):
+    """How an attempt ended, which decides the state of its key."""
 
     FINISHED = "finished"
     NOT_RUN = "not_run"
@@ -35,79 +35,78 @@
 
 
 class Attempt:
-    """A call that runs in a task of the service, so that the caller's end is not its end.
+    """A call that runs in a task of the service, independent of its caller's connection.
 
-    A booking whose caller's connection breaks has most often been sent already: cancelled,
-    its outcome would be lost to the retry that follows. A call that may be repeated is
-    cancelled instead, as nobody waits for what it generates.
+    When a caller's connection breaks, its booking has usually been sent already. Cancelling it
+    would lose the outcome that the caller's retry needs. An idempotent call is cancelled
+    instead, as nobody waits for its response.
     """
 
     def __init__(self, call: Call) -> None:
         self.call = call
-        self.ending = Ending.UNKNOWN
+        self.outcome = AttemptOutcome.UNKNOWN
         self.status = 0
-        self.kept: list[ResponsePart] = []
-        self.size = 0
-        streams = anyio.create_memory_object_stream["ResponsePart | GatewayError"](PARTS_AHEAD)
+        self.stored_parts: list[ResponsePart] = []
+        self.response_bytes = 0
+        streams = anyio.create_memory_object_stream["ResponsePart | GatewayError"](
+            MAX_BUFFERED_PARTS
+        )
         self._send, self._receive = streams
-        self._left = False
+        self._caller_gone = False
 
     async def execute(self, dispatch: Dispatch) -> None:
-        """Run the call to its end; ``ending`` then tells what is known of it.
-
-        Cancelled in the middle, the attempt stays of unknown outcome.
-        """
+        """Run the call to its end and set ``outcome``; if cancelled, it stays unknown."""
         try:
-            self.ending = await self._run(dispatch)
+            self.outcome = await self._run(dispatch)
         except GatewayError as exc:
-            if exc.ran is Ran.NO and not self.kept:
-                self.ending = Ending.NOT_RUN
-            await self._hand(exc)
+            if exc.ran is Ran.NO and not self.stored_parts:
+                self.outcome = AttemptOutcome.NOT_RUN
+            await self._send_to_caller(exc)
         finally:
             self._send.close()
 
     async def parts(self) -> AsyncGenerator[ResponsePart, None]:
-        """Yield the parts to the caller; closing this leaves the attempt to itself."""
+        """Yield the parts to the caller; the attempt continues after this is closed."""
         try:
             async for part in self._receive:
                 if isinstance(part, GatewayError):
                     raise part
                 yield part
         finally:
-            self._left = True
+            self._caller_gone = True
             self._receive.close()
 
-    async def _run(self, dispatch: Dispatch) -> Ending:
-        running = cast("AsyncGenerator[ResponsePart, None]", dispatch.run(self.call))
-        async with aclosing(running) as parts:
-            return await self._follow(parts)
+    async def _run(self, dispatch: Dispatch) -> AttemptOutcome:
+        response = cast("AsyncGenerator[ResponsePart, None]", dispatch.run(self.call))
+        async with aclosing(response) as parts:
+            return await self._forward_parts(parts)
 
-    async def _follow(self, parts: AsyncIterator[ResponsePart]) -> Ending:
+    async def _forward_parts(self, parts: AsyncIterator[ResponsePart]) -> AttemptOutcome:
         async for part in parts:
-            self._keep(part)
-            await self._hand(part)
+            self._store_part(part)
+            await self._send_to_caller(part)
             if isinstance(part, ResponseEnd):
-                return Ending.FINISHED
-            if self._left and self.call.idempotent:
-                return Ending.UNKNOWN
-        await self._hand(GatewayError(ErrorKind.STREAM_BROKEN))
-        return Ending.UNKNOWN
+                return AttemptOutcome.FINISHED
+            if self._caller_gone and self.call.idempotent:
+                return AttemptOutcome.UNKNOWN
+        await self._send_to_caller(GatewayError(ErrorKind.STREAM_BROKEN))
+        return AttemptOutcome.UNKNOWN
 
-    def _keep(self, part: ResponsePart) -> None:
+    def _store_part(self, part: ResponsePart) -> None:
         match part:
             case ResponseHead(status=status):
                 self.status = status
             case ResponseChunk(data=data):
-                self.size += len(data)
-        if self.size > LARGEST_KEPT:
-            del self.kept[1:]
+                self.response_bytes += len(data)
+        if self.response_bytes > MAX_STORED_RESPONSE_BYTES:
+            del self.stored_parts[1:]
         else:
-            self.kept.append(part)
+            self.stored_parts.append(part)
 
-    async def _hand(self, part: ResponsePart | GatewayError) -> None:
-        if self._left:
+    async def _send_to_caller(self, part: ResponsePart | GatewayError) -> None:
+        if self._caller_gone:
             return
         try:
             await self._send.send(part)
         except (anyio.BrokenResourceError, anyio.ClosedResourceError):
-            self._left = True
+            self._caller_gone = True
--- a/src/hickorybeam/once/keys.py
+++ b/src/hickorybeam/once/keys.py
@@ -1,4 +1,4 @@
-"""Issued idempotency keys: which VM runs a call, readable by all and forgeable by none."""
+"""Issued idempotency keys, signed, which name the VM that runs the call in readable form."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 
 __all__ = ("IssuedKey", "KeyIssuer", "is_issued", "parse_key")
 
-PREFIX: Final = "hb1~"
+ISSUED_PREFIX: Final = "hb1~"
 SEPARATOR: Final = "~"
 NONCE_BYTES: Final = 12
-MAC_HEX: Final = 32
-LONGEST_KEY: Final = 400
+MAC_HEX_DIGITS: Final = 32
+MAX_KEY_LENGTH: Final = 400
 
 
 @dataclass(frozen=True, slots=True)
 class IssuedKey:
-    """What an issued key says.
+    """The fields of an issued key.
 
-    ``expires_ms`` is on the issuer's monotonic clock, which alone judges it: no two clocks
-    are compared.
+    ``expires_ms`` is on the issuer's monotonic clock. Only the issuer checks it, so no two
+    clocks are compared.
     """
 
     vm: VmId
@@ -35,14 +35,14 @@
 
 
 def is_issued(key: str) -> bool:
-    """Whether a key claims to be an issued one; callers' own keys may not begin so."""
-    return key.startswith(PREFIX)
+    """Whether a key has the prefix of issued keys, which caller-chosen keys may not have."""
+    return key.startswith(ISSUED_PREFIX)
 
 
 def parse_key(key: str) -> IssuedKey:
-    """Read an issued key, or raise ``IDEMPOTENCY_INVALID``."""
-    fields = key.removeprefix(PREFIX).split(SEPARATOR)
-    if not is_issued(key) or len(key) > LONGEST_KEY or len(fields) != 5:
+    """Parse an issued key, or raise ``IDEMPOTENCY_INVALID``."""
+    fields = key.removeprefix(ISSUED_PREFIX).split(SEPARATOR)
+    if not is_issued(key) or len(key) > MAX_KEY_LENGTH or len(fields) != 5:
         raise GatewayError(ErrorKind.IDEMPOTENCY_INVALID)
     name, incarnation, expires, nonce, mac = fields
     try:
@@ -52,7 +52,7 @@
 
 
 class KeyIssuer:
-    """Issues and checks keys of one incarnation; the secret never leaves the process."""
+    """Issues and verifies keys of one incarnation; the secret never leaves the process."""
 
     def __init__(self, vm: VmId) -> None:
         self.vm = vm
@@ -63,14 +63,14 @@
         nonce = secrets.token_hex(NONCE_BYTES)
         fields = (self.vm.name, self.vm.incarnation, f"{expires_ms:x}", nonce)
         mac = self._mac(account, expires_ms, nonce)
-        return PREFIX + SEPARATOR.join((*fields, mac))
+        return ISSUED_PREFIX + SEPARATOR.join((*fields, mac))
 
-    def check(self, key: IssuedKey, account: str) -> None:
+    def verify(self, key: IssuedKey, account: str) -> None:
         """Raise ``IDEMPOTENCY_INVALID`` unless this VM issued the key to this account."""
-        wanted = self._mac(account, key.expires_ms, key.nonce)
-        if key.vm != self.vm or not hmac.compare_digest(wanted.encode(), key.mac.encode()):
+        expected_mac = self._mac(account, key.expires_ms, key.nonce)
+        if key.vm != self.vm or not hmac.compare_digest(expected_mac.encode(), key.mac.encode()):
             raise GatewayError(ErrorKind.IDEMPOTENCY_INVALID, "not issued to this account")
 
     def _mac(self, account: str, expires_ms: int, nonce: str) -> str:
         text = f"{len(account)}:{account}{SEPARATOR}{expires_ms:x}{SEPARATOR}{nonce}"
-        return hmac.new(self._secret, text.encode(), hashlib.sha256).hexdigest()[:MAC_HEX]
+        return hmac.new(self._secret, text.encode(), hashlib.sha256).hexdigest()[:MAC_HEX_DIGITS]
--- a/src/hickorybeam/once/service.py
+++ b/src/hickorybeam/once/service.py
@@ -14,8 +14,8 @@
 from hickorybeam.errors import ErrorKind, GatewayError, Ran
 from hickorybeam.kernel import Mailbox, Service
 from hickorybeam.model import VmId
-from hickorybeam.once.attempt import LARGEST_KEPT, Attempt, Ending
-from hickorybeam.once.claims import KEEP_MS, Claims
+from hickorybeam.once.attempt import MAX_STORED_RESPONSE_BYTES, Attempt, AttemptOutcome
+from hickorybeam.once.claims import MIN_CLAIM_MS, ClaimStore
 from hickorybeam.once.keys import IssuedKey, KeyIssuer, is_issued, parse_key
 from hickorybeam.policy.at_most_once import (
     Claim,
@@ -38,34 +38,34 @@
 
 __all__ = ("IdempotencyService",)
 
-# An issued key is good for ten minutes: a caller draws it right before it needs it, and every
-# used one is remembered for as long.
-ISSUED_FOR_MS: Final = 600_000
-MOST_ISSUED: Final = 1_000
+# Callers request keys right before use, so a short lifetime is enough; every used key is stored
+# for this long.
+ISSUED_KEY_LIFETIME_MS: Final = 600_000
+MAX_ISSUED_KEYS: Final = 1_000
 
-# About 300 bytes each: 30 MB at most. At 100 bookings a second a VM holds 60 000.
-MOST_KEYS: Final = 100_000
-MOST_ANSWER_BYTES: Final = 32_000_000
+# About 300 bytes each, so 30 MB at most. At 100 bookings a second a VM stores 60 000 keys.
+MAX_KEYS: Final = 100_000
+MAX_TOTAL_STORED_BYTES: Final = 32_000_000
 
-# Longer than a claim's lease can last, so that this VM never forgets a claim of its own that
-# still stands in the platform.
-CHOSEN_FOR_MS: Final = 2 * KEEP_MS + 60_000
+# Longer than a claim's lease, so that this VM never forgets a claim of its own that still exists
+# at the platform.
+CHOSEN_KEY_LIFETIME_MS: Final = 2 * MIN_CLAIM_MS + 60_000
 
-# A VM paused between its claim and its call must not run the call when the claim may have
-# lapsed; this is far below the claim's time and above any platform timeout.
-LATEST_START_MS: Final = 60_000
+# A VM that was paused between its claim and its call must not run the call if the claim may have
+# expired. This is far below a claim's lifetime and above any platform timeout.
+MAX_CLAIM_TO_CALL_MS: Final = 60_000
 
-LONGEST_CHOSEN: Final = 256
-SWEEP_MS: Final = 10_000
+MAX_CHOSEN_KEY_LENGTH: Final = 256
+EXPIRY_INTERVAL_MS: Final = 10_000
 DRAIN_POLL_MS: Final = 50
-RETRY_RUNNING_MS: Final = 1_000
+RUNNING_RETRY_AFTER_MS: Final = 1_000
 
 
 @dataclass(frozen=True, slots=True)
-class _Held:
-    """The key that an attempt holds; ``revision`` is its claim's, 0 for an issued key."""
+class _ReservedKey:
+    """The key reserved by an attempt; ``revision`` is that of its claim, 0 for an issued key."""
 
-    name: str
+    table_key: str
     attempt: str
     content: str
     revision: int = 0
@@ -81,22 +81,22 @@
         self._cfg = cfg
         self._clock = clock
         self._counters = counters
-        self._table = IdempotencyKeyTable(limit=MOST_KEYS, answer_bytes=MOST_ANSWER_BYTES)
-        self._jobs: Mailbox[tuple[Attempt, _Held]] = Mailbox()
-        self._running = 0
+        self._table = IdempotencyKeyTable(limit=MAX_KEYS, answer_bytes=MAX_TOTAL_STORED_BYTES)
+        self._attempts: Mailbox[tuple[Attempt, _ReservedKey]] = Mailbox()
+        self._running_attempts = 0
         self._members: ports.Members | None = None
         self._peers: ports.Peers | None = None
         self._config: ports.ConfigView | None = None
         self._issuer: KeyIssuer | None = None
-        self._claims: Claims | None = None
+        self._created_claim_store: ClaimStore | None = None
         self._platform: Platform | None = None
         self._outcomes = counters.counter(
             "idempotency_outcomes", "Calls with an idempotency key", ("key", "outcome")
         )
-        self._kept = counters.gauge("idempotency_keys", "Idempotency keys remembered")
+        self._keys_gauge = counters.gauge("idempotency_keys", "Idempotency keys remembered")
 
     def bind(self, kernel: Kernel) -> None:
-        """Look up neighbours."""
+        """Look up the services in use."""
         self._dispatch = kernel.find(ports.DISPATCH, ports.Dispatch)  # type: ignore[type-abstract]
         if kernel.has(ports.PLATFORM):
             self._platform = kernel.find(ports.PLATFORM, Platform)  # type: ignore[type-abstract]
@@ -108,28 +108,28 @@
             self._config = kernel.find(ports.CONFIG, ports.ConfigView)  # type: ignore[type-abstract]
 
     async def main(self, started: Started) -> None:
-        """Run attempts in tasks of their own until cancelled."""
+        """Run each attempt in its own task until cancelled."""
         started()
         async with anyio.create_task_group() as tg:
-            tg.start_soon(self._sweep)
-            async for attempt, held in self._jobs:
-                tg.start_soon(self._execute, attempt, held)
+            tg.start_soon(self._expire_keys)
+            async for attempt, reserved in self._attempts:
+                tg.start_soon(self._execute, attempt, reserved)
 
     async def drain(self) -> None:
-        """Let the attempts that run come to their end."""
-        while self._running:
+        """Wait for the running attempts to end."""
+        while self._running_attempts:
             await self._clock.sleep(DRAIN_POLL_MS)
 
     def status(self) -> dict[str, object]:
-        """Tell operators how many keys are remembered and running."""
-        return {"keys": len(self._table), "running": self._running}
+        """Return, for operators, the number of stored keys and of running attempts."""
+        return {"keys": len(self._table), "running": self._running_attempts}
 
     def issue(self, account: str, count: int) -> tuple[str, ...]:
         """Issue idempotency keys bound to this VM's incarnation and to an account."""
-        if not 1 <= count <= MOST_ISSUED:
-            raise GatewayError(ErrorKind.BAD_REQUEST, f"count must be 1 to {MOST_ISSUED}")
-        expires = self._clock.now() + ISSUED_FOR_MS
-        return tuple(self._issue().issue(account, expires) for _ in range(count))
+        if not 1 <= count <= MAX_ISSUED_KEYS:
+            raise GatewayError(ErrorKind.BAD_REQUEST, f"count must be 1 to {MAX_ISSUED_KEYS}")
+        expires = self._clock.now() + ISSUED_KEY_LIFETIME_MS
+        return tuple(self._key_issuer().issue(account, expires) for _ in range(count))
 
     async def run(self, call: Call) -> AsyncIterator[ResponsePart]:
         """Run a call that carries an idempotency key, here or at its issuer, at most once."""
@@ -148,96 +148,114 @@
         self._outcomes.labels(kind, "answered").inc()
 
     def _run_issued(self, call: Call, key: IssuedKey) -> AsyncIterator[ResponsePart]:
-        if key.vm != self._me():
+        if key.vm != self._own_vm_id():
             return self._forward(call, key)
-        self._issue().check(key, call.account)
+        self._key_issuer().verify(key, call.account)
         content = fingerprint(call)
-        decision = self._begin(call, content, expires_ms=key.expires_ms)
+        decision = self._reserve(call, content, expires_ms=key.expires_ms)
         if isinstance(decision, Replay):
-            return _again(decision)
-        return self._start(call, _Held(_name(call), "", content))
+            return _replay(decision)
+        return self._start_attempt(call, _ReservedKey(_table_key(call), "", content))
 
     async def _run_chosen(self, call: Call) -> AsyncIterator[ResponsePart]:
-        if call.hops or len(call.idempotency_key) > LONGEST_CHOSEN:
+        if call.hops or len(call.idempotency_key) > MAX_CHOSEN_KEY_LENGTH:
             raise GatewayError(ErrorKind.IDEMPOTENCY_INVALID)
         content = fingerprint(call)
-        decision = self._begin(call, content, expires_ms=self._clock.now() + CHOSEN_FOR_MS)
+        decision = self._reserve(
+            call, content, expires_ms=self._clock.now() + CHOSEN_KEY_LIFETIME_MS
+        )
         if isinstance(decision, Replay):
-            return _again(decision)
-        sent = self._clock.now()
+            return _replay(decision)
+        claim_started_ms = self._clock.now()
         attempt = secrets.token_hex(12)
-        name = _name(call)
+        table_key = _table_key(call)
         try:
-            revision = await self._claim().claim(
+            revision = await self._claim_store().claim(
                 call.account, call.idempotency_key, content, attempt
             )
-            if self._clock.now() - sent > LATEST_START_MS:
+            if self._clock.now() - claim_started_ms > MAX_CLAIM_TO_CALL_MS:
                 raise GatewayError(ErrorKind.DEADLINE, "the claim took too long", ran=Ran.NO)
         except BaseException:
-            # Nothing was handed on: the key is free here, whatever the platform holds.
-            self._table.release(name)
+            # No attempt was started: the key is free at this VM, whatever the platform stores.
+            self._table.release(table_key)
             raise
-        return self._start(call, _Held(name, attempt, content, revision))
+        return self._start_attempt(call, _ReservedKey(table_key, attempt, content, revision))
 
-    def _begin(self, call: Call, content: str, *, expires_ms: int) -> Replay | None:
-        decision = self._table.begin(_name(call), content, self._clock.now(), expires_ms=expires_ms)
+    def _reserve(self, call: Call, content: str, *, expires_ms: int) -> Replay | None:
+        decision = self._table.begin(
+            _table_key(call), content, self._clock.now(), expires_ms=expires_ms
+        )
         match decision:
             case Refused(kind=kind, detail=detail):
                 running = kind is ErrorKind.IDEMPOTENCY_RUNNING
                 raise GatewayError(
-                    kind, detail, retry_after_ms=RETRY_RUNNING_MS if running else None
+                    kind, detail, retry_after_ms=RUNNING_RETRY_AFTER_MS if running else None
                 )
             case Replay():
                 return decision
         return None
 
-    def _start(self, call: Call, held: _Held) -> AsyncIterator[ResponsePart]:
+    def _start_attempt(self, call: Call, reserved: _ReservedKey) -> AsyncIterator[ResponsePart]:
         attempt = Attempt(call)
-        self._running += 1
-        self._jobs.post((attempt, held))
+        self._running_attempts += 1
+        self._attempts.post((attempt, reserved))
         return attempt.parts()
 
-    async def _execute(self, attempt: Attempt, held: _Held) -> None:
+    async def _execute(self, attempt: Attempt, reserved: _ReservedKey) -> None:
         try:
             await attempt.execute(self._dispatch)
         except Exception as exc:
-            logging.exception("an attempt with an idempotency key failed: %s", exc)
+            logging.exception("attempt with an idempotency key failed: %s", exc)
         finally:
-            ending = attempt.ending
-            self._note(attempt, held, ending)
-            self._running -= 1
-        if held.revision:
-            await self._settle(attempt, held, ending)
-
-    def _note(self, attempt: Attempt, held: _Held, ending: Ending) -> None:
-        match ending:
-            case Ending.FINISHED:
-                parts = tuple(attempt.kept) if attempt.size <= LARGEST_KEPT else None
-                self._table.finish(held.name, attempt.status, parts, attempt.size)
-            case Ending.NOT_RUN:
-                self._table.release(held.name)
-            case Ending.UNKNOWN:
-                self._table.mark_unknown(held.name)
-
-    async def _settle(self, attempt: Attempt, held: _Held, ending: Ending) -> None:
-        """Tell the platform; unheard, the claim stands as running, and nobody runs it again."""
+            outcome = attempt.outcome
+            self._record_outcome(attempt, reserved, outcome)
+            self._running_attempts -= 1
+        if reserved.revision:
+            await self._write_outcome(attempt, reserved, outcome)
+
+    def _record_outcome(
+        self, attempt: Attempt, reserved: _ReservedKey, outcome: AttemptOutcome
+    ) -> None:
+        match outcome:
+            case AttemptOutcome.FINISHED:
+                parts = (
+                    tuple(attempt.stored_parts)
+                    if attempt.response_bytes <= MAX_STORED_RESPONSE_BYTES
+                    else None
+                )
+                self._table.finish(
+                    reserved.table_key, attempt.status, parts, attempt.response_bytes
+                )
+            case AttemptOutcome.NOT_RUN:
+                self._table.release(reserved.table_key)
+            case AttemptOutcome.UNKNOWN:
+                self._table.mark_unknown(reserved.table_key)
+
+    async def _write_outcome(
+        self, attempt: Attempt, reserved: _ReservedKey, outcome: AttemptOutcome
+    ) -> None:
+        """Write the outcome to the platform; if that fails, the claim stays running, not free."""
         call = attempt.call
-        claims = self._claim()
+        claim_store = self._claim_store()
         try:
-            if ending is Ending.NOT_RUN:
-                await claims.release(call.account, call.idempotency_key, held.revision)
+            if outcome is AttemptOutcome.NOT_RUN:
+                await claim_store.release(call.account, call.idempotency_key, reserved.revision)
                 return
-            state = ClaimState.FINISHED if ending is Ending.FINISHED else ClaimState.UNKNOWN
+            state = (
+                ClaimState.FINISHED if outcome is AttemptOutcome.FINISHED else ClaimState.UNKNOWN
+            )
             claim = Claim(
-                owner=self._me(),
-                attempt=held.attempt,
-                content=held.content,
+                owner=self._own_vm_id(),
+                attempt=reserved.attempt,
+                content=reserved.content,
                 state=state,
                 status=attempt.status,
             )
-            await claims.settle(call.account, call.idempotency_key, claim, held.revision)
+            await claim_store.write_outcome(
+                call.account, call.idempotency_key, claim, reserved.revision
+            )
         except GatewayError as exc:
-            logging.warning("the outcome of a claim was not written: %s", exc)
+            logging.warning("cannot write the outcome of a claim to the platform: %s", exc)
 
     async def _forward(self, call: Call, key: IssuedKey) -> AsyncIterator[ResponsePart]:
         if call.hops:
@@ -252,7 +270,7 @@
                 yield part
 
     def _check_region(self, call: Call, issuer: EntryVm) -> None:
-        """Refuse before the body leaves for a region where it may not be processed."""
+        """Refuse a call before its body is sent to a region where it may not be processed."""
         if self._config is None:
             return
         state = self._config.current()
@@ -261,27 +279,29 @@
         if allowed is None or issuer.region not in allowed:
             raise GatewayError(ErrorKind.RESIDENCY)
 
-    async def _sweep(self) -> None:
+    async def _expire_keys(self) -> None:
         while True:
-            await self._clock.sleep(SWEEP_MS)
+            await self._clock.sleep(EXPIRY_INTERVAL_MS)
             self._table.expire(self._clock.now())
-            self._kept.set(len(self._table))
+            self._keys_gauge.set(len(self._table))
 
-    def _issue(self) -> KeyIssuer:
+    def _key_issuer(self) -> KeyIssuer:
         if self._issuer is None:
-            self._issuer = KeyIssuer(self._me())
+            self._issuer = KeyIssuer(self._own_vm_id())
         return self._issuer
 
-    def _claim(self) -> Claims:
-        if self._claims is None:
-            self._claims = Claims(clock=self._clock, me=self._me(), alive=self._is_alive)
-            self._claims.connect(self._platform)
-        return self._claims
+    def _claim_store(self) -> ClaimStore:
+        if self._created_claim_store is None:
+            self._created_claim_store = ClaimStore(
+                clock=self._clock, own_vm_id=self._own_vm_id(), is_live=self._is_live
+            )
+            self._created_claim_store.connect(self._platform)
+        return self._created_claim_store
 
-    def _is_alive(self, vm: VmId) -> bool:
+    def _is_live(self, vm: VmId) -> bool:
         return self._members is not None and self._members.find(vm) is not None
 
-    def _me(self) -> VmId:
+    def _own_vm_id(self) -> VmId:
         if self._members is not None:
             return self._members.me.id
         if self._issuer is None:
@@ -289,11 +309,11 @@
         return self._issuer.vm
 
 
-def _name(call: Call) -> str:
-    """Return the key's name in the table; the same key of another account is another key."""
+def _table_key(call: Call) -> str:
+    """Return the key in the table, which includes the account: keys are per account."""
     return f"{len(call.account)}:{call.account}{call.idempotency_key}"
 
 
-async def _again(replay: Replay) -> AsyncIterator[ResponsePart]:
+async def _replay(replay: Replay) -> AsyncIterator[ResponsePart]:
     for part in replay.parts:
         yield part
--- a/tests/steps/once/fakes.py
+++ b/tests/steps/once/fakes.py
@@ -1,4 +1,4 @@
-"""Once services of several VMs in one process, over fakes at their ports."""
+"""Idempotency services of several VMs in one process, with fakes of the services they use."""
 
 from __future__ import annotations
 
@@ -34,11 +34,11 @@
 
 
 class FakeDispatch:
-    """Counts what runs. ``plan`` says what becomes of the next calls."""
+    """Records the calls that run; ``plan`` sets how the next calls end."""
 
     def __init__(self, fleet):
         self.fleet = fleet
-        self.plan = "answers"
+        self.plan = "responds"
         self.go = anyio.Event()
         self.cancelled = 0
 
@@ -56,7 +56,7 @@
                 raise GatewayError(ErrorKind.STREAM_BROKEN)
             if self.plan == "ends early":
                 return
-            size = LARGE if self.plan == "answers at length" else 1
+            size = LARGE if self.plan == "sends a long response" else 1
             yield ResponseChunk(b"booked" * size)
             yield ResponseEnd()
         except (GeneratorExit, anyio.get_cancelled_exc_class()):
@@ -65,7 +65,7 @@
 
 
 class FakePeers:
-    """Hands a forwarded call to the once service of the other VM."""
+    """Passes a forwarded call to the idempotency service of the other VM."""
 
     def __init__(self, fleet, node):
         self.fleet = fleet
@@ -82,21 +82,21 @@
         other = self.fleet.nodes.get(vm.id.name)
         if other is None or other.cut:
             raise GatewayError(ErrorKind.PEER_UNREACHABLE, ran=Ran.NO)
-        async for part in other.once.run(replace(call, hops=1)):
+        async for part in other.service.run(replace(call, hops=1)):
             if self.lose_response:
                 raise GatewayError(ErrorKind.PEER_UNREACHABLE, ran=Ran.UNKNOWN)
             yield part
 
 
 class FakeMembers(shares.FakeMembers):
-    """VMs that run, as the VM of this fake hears them."""
+    """Membership: every running VM."""
 
     def vms(self):
         return tuple(node.vm for node in self.fleet.nodes.values())
 
 
 class Node:
-    """One VM with its once service."""
+    """One VM with its idempotency service."""
 
     def __init__(self, fleet, name, region, incarnation):
         self.fleet = fleet
@@ -120,7 +120,7 @@
             vm=VmSettings(name=name, region=region, data_centre=region),
             platform=PlatformSettings(urls=("http://127.0.0.1:1",)),
         )
-        self.once = IdempotencyService(cfg=cfg, clock=fleet.clock, counters=Counters())
+        self.service = IdempotencyService(cfg=cfg, clock=fleet.clock, counters=Counters())
         self.scope = anyio.CancelScope()
 
     def find(self, name, kind):
@@ -134,9 +134,9 @@
             await anyio.lowlevel.checkpoint()
 
     async def run(self):
-        self.once.bind(self)
+        self.service.bind(self)
         with self.scope:
-            await self.once.main(Started())
+            await self.service.main(Started())
 
 
 class Fleet:
@@ -179,13 +179,13 @@
         await shares.settle()
 
     async def send(self, name, call):
-        """Send a call; the attempt's answer or error is appended to the list returned."""
+        """Send a call and return its outcome, which is filled in as the call proceeds."""
         outcome = Outcome()
 
         async def ask():
             with outcome.scope:
                 try:
-                    async for part in self.nodes[name].once.run(call):
+                    async for part in self.nodes[name].service.run(call):
                         outcome.parts.append(part)
                 except GatewayError as exc:
                     outcome.error = exc
@@ -197,7 +197,7 @@
 
 
 class Outcome:
-    """What one attempt's caller saw."""
+    """What the caller of one attempt received."""
 
     def __init__(self):
         self.parts = []
--- a/tests/steps/shares/budget_steps.py
+++ b/tests/steps/shares/budget_steps.py
@@ -131,7 +131,7 @@
 @when("the platform is unavailable for the budget fleet")
 def step_unavailable(context):
     for node in context.fleet.nodes.values():
-        node.platform.out = True
+        node.platform.unavailable = True
 
 
 @then('budget VM "{name}" served at least {tokens:d} tokens')
@@ -191,7 +191,7 @@
         case "takes effect after it is cut off":
             platform.delay_write = True
             platform.apply_after_ms = 500
-            platform.out_after_delay = True
+            platform.unavailable_after_delay = True
 
 
 @when('delayed writes of budget VM "{name}" take effect')
@@ -273,7 +273,7 @@
 def step_new_account(context, name, platform):
     async def add():
         for node in context.fleet.nodes.values():
-            node.platform.out = platform.endswith("unavailable")
+            node.platform.unavailable = platform.endswith("unavailable")
             accounts = [fakes.account(NAME, context.rate, context.burst), fakes.account(name)]
             node.config.set(accounts)
 
@@ -299,7 +299,7 @@
         fleet.nodes[name].pause()
         await fleet.run(ms)
         for node in fleet.nodes.values():
-            node.platform.out = True
+            node.platform.unavailable = True
         fleet.nodes[name].resume()
 
     context.call(pause)
@@ -307,7 +307,7 @@
 
 @when('the platform is unavailable for budget VM "{name}" alone')
 def step_unavailable_for_one(context, name):
-    context.fleet.nodes[name].platform.out = True
+    context.fleet.nodes[name].platform.unavailable = True
 
 
 @when('budget VM "{name}" does not consider "{other}" live')
--- a/tests/steps/shares/fakes.py
+++ b/tests/steps/shares/fakes.py
@@ -95,11 +95,11 @@
     def __init__(self, store, node):
         self.store = store
         self.node = node
-        self.out = False
+        self.unavailable = False
         self.lose_response = False
         self.delay_write = False
         self.apply_after_ms = 0
-        self.out_after_delay = False
+        self.unavailable_after_delay = False
         self.before_write = None
         self.crash_next_read = False
         self.delayed_writes = []
@@ -110,7 +110,7 @@
         self.store.expire()
         self.store.calls += 1
         self.store.writes += write
-        if self.out:
+        if self.unavailable:
             raise GatewayError(ErrorKind.PLATFORM_OUT)
 
     async def read(self, key, *, limit=0):
@@ -133,7 +133,7 @@
         if self.delay_write:
             self.delay_write = False
             self.delayed_writes.append((compares, writes))
-            self.out = self.out_after_delay
+            self.unavailable = self.unavailable_after_delay
             if self.apply_after_ms:
                 self.node.fleet.tg.start_soon(self._apply_delayed_writes_soon)
             raise GatewayError(ErrorKind.PLATFORM_UNKNOWN)
@@ -407,13 +407,13 @@
         self.cut.add(data_centre)
         for node in self.nodes.values():
             if node.vm.data_centre == data_centre:
-                node.platform.out = platform
+                node.platform.unavailable = platform
 
     def heal(self, data_centre):
         self.cut.discard(data_centre)
         for node in self.nodes.values():
             if node.vm.data_centre == data_centre:
-                node.platform.out = False
+                node.platform.unavailable = False
 
     async def start(self, name, data_centre, incarnation="1"):
         node = Node(self, name, data_centre, incarnation)
--- a/tools/mutations.py
+++ b/tools/mutations.py
@@ -166,7 +166,8 @@
         "a neighbour that took over is heeded",
         "shares/service.py",
         "            self._ledger_client.stop_using_shares()\n",
-        "            self._ledger_client.lease_state.neighbours_promised(asked_at_ms, promise_ms)\n",
+        "            self._ledger_client.lease_state"
+        ".neighbours_promised(asked_at_ms, promise_ms)\n",
         "shares",
     ),
     Mutation(
@@ -266,15 +267,15 @@
     Mutation(
         "an issued key is bound to its account",
         "once/keys.py",
-        "if key.vm != self.vm or not hmac.compare_digest(wanted.encode(), key.mac.encode()):",
+        "if key.vm != self.vm or not hmac.compare_digest(expected_mac.encode(), key.mac.encode()):",
         "if key.vm != self.vm:",
         "once",
     ),
     Mutation(
         "an issued key runs at its issuer only",
         "once/service.py",
-        "        if key.vm != self._me():\n            return self._forward(call, key)\n"
-        "        self._issue().check(key, call.account)\n",
+        "        if key.vm != self._own_vm_id():\n            return self._forward(call, key)\n"
+        "        self._key_issuer().verify(key, call.account)\n",
         "",
         "once",
     ),
@@ -329,15 +330,16 @@
     Mutation(
         "only a refusal before the first byte frees the key",
         "once/attempt.py",
-        "if exc.ran is Ran.NO and not self.kept:",
+        "if exc.ran is Ran.NO and not self.stored_parts:",
         "if True:",
         "once",
     ),
     Mutation(
         "a claim is compared with what was read",
         "once/claims.py",
-        "            return await self._port().txn((Compare(name, revision),), (put,))",
-        "            return await self._port().txn((), (put,))",
+        "            return await self._connected_platform()"
+        ".txn((Compare(store_key, revision),), (put,))",
+        "            return await self._connected_platform().txn((), (put,))",
         "once",
     ),
     Mutation(
@@ -350,22 +352,23 @@
     Mutation(
         "a refused claim is not run",
         "once/claims.py",
-        "        if isinstance(verdict, Refused):\n",
+        "        if isinstance(decision, Refused):\n",
         "        if False:\n",
         "once",
     ),
     Mutation(
         "the outcome of a claim is written",
         "once/service.py",
-        "state = ClaimState.FINISHED if ending is Ending.FINISHED else ClaimState.UNKNOWN",
-        "state = ClaimState.RUNNING",
+        "ClaimState.FINISHED if outcome is AttemptOutcome.FINISHED else ClaimState.UNKNOWN",
+        "ClaimState.RUNNING",
         "once",
     ),
     Mutation(
         "no key of a caller reaches the platform",
         "once/claims.py",
-        'return PREFIX + hashlib.sha256(f"{len(account)}:{account}{key}".encode()).hexdigest()',
-        "return PREFIX + account + key",
+        "return CLAIM_PREFIX + "
+        'hashlib.sha256(f"{len(account)}:{account}{key}".encode()).hexdigest()',
+        "return CLAIM_PREFIX + account + key",
         "once",
     ),
     Mutation(
@@ -385,21 +388,21 @@
     Mutation(
         "a booking goes on when its caller is gone",
         "once/attempt.py",
-        "if self._left and self.call.idempotent:",
-        "if self._left:",
+        "if self._caller_gone and self.call.idempotent:",
+        "if self._caller_gone:",
         "once",
     ),
     Mutation(
         "a call that may be repeated does not",
         "once/attempt.py",
-        "if self._left and self.call.idempotent:",
+        "if self._caller_gone and self.call.idempotent:",
         "if False:",
         "once",
     ),
     Mutation(
         "no start on a claim that may have lapsed",
         "once/service.py",
-        "            if self._clock.now() - sent > LATEST_START_MS:",
+        "            if self._clock.now() - claim_started_ms > MAX_CLAIM_TO_CALL_MS:",
         "            if False:",
         "once",
     ),
