--- a/src/hickorybeam/control/service.py
+++ b/src/hickorybeam/control/service.py
@@ -16,7 +16,7 @@
 from hickorybeam.errors import ErrorKind, GatewayError
 from hickorybeam.kernel import Service, Started
 from hickorybeam.store import Platform
-from hickorybeam.tickets.spread import watchers
+from hickorybeam.tickets.spread import store_watchers
 
 if TYPE_CHECKING:
     from hickorybeam.clock import Clock
@@ -121,7 +121,7 @@
         if self._members is None:
             return True
         me = self._members.own_vm
-        return me.id in {vm.id for vm in watchers(self._members.vms(), me.data_centre)}
+        return me.id in {vm.id for vm in store_watchers(self._members.vms(), me.data_centre)}
 
     async def _hold_lease(self) -> None:
         try:
--- a/src/hickorybeam/tickets/service.py
+++ b/src/hickorybeam/tickets/service.py
@@ -29,7 +29,7 @@
     StateReply,
     StateRequest,
     ask_order,
-    watchers,
+    store_watchers,
 )
 from hickorybeam.tickets.submit import Submitter
 
@@ -323,7 +323,7 @@
         if self._members is None:
             return True
         me = self._members.own_vm
-        chosen = watchers(self._members.vms(), me.data_centre)
+        chosen = store_watchers(self._members.vms(), me.data_centre)
         return me.id in {vm.id for vm in chosen} or self._left_alone()
 
     def _left_alone(self) -> bool:
--- a/src/hickorybeam/tickets/spread.py
+++ b/src/hickorybeam/tickets/spread.py
@@ -26,7 +26,7 @@
     "StateReply",
     "StateRequest",
     "ask_order",
-    "watchers",
+    "store_watchers",
 )
 
 # Two watchers in a data centre: one may fail, or have a silent watch, unnoticed by the rest.
@@ -115,7 +115,7 @@
         return NEVER_MS if self._confirmed_at is None else max(0, now - self._confirmed_at)
 
 
-def watchers(vms: tuple[EntryVm, ...], data_centre: str) -> tuple[EntryVm, ...]:
+def store_watchers(vms: tuple[EntryVm, ...], data_centre: str) -> tuple[EntryVm, ...]:
     """Return the VMs of a data centre that watch the platform for the others.
 
     Every VM ranks alike, so VMs that see the same members agree without a message; while
@@ -129,7 +129,7 @@
     vms: tuple[EntryVm, ...], me: EntryVm, rng: random.Random, *, at_most: int
 ) -> tuple[EntryVm, ...]:
     """Return whom to ask for tickets: watchers nearby, then others nearby, then any."""
-    chosen = frozenset(vm.id for vm in watchers(vms, me.data_centre))
+    chosen = frozenset(vm.id for vm in store_watchers(vms, me.data_centre))
 
     def rank(vm: EntryVm) -> tuple[bool, bool, float]:
         return vm.id not in chosen, vm.data_centre != me.data_centre, rng.random()
