--- a/src/hickorybeam/tickets/__init__.py
+++ b/src/hickorybeam/tickets/__init__.py
@@ -1,8 +1,8 @@
-"""Change tickets: checks, the log, and the state in force."""
+"""Change tickets: their validation, the log that orders them, and the configuration in force."""
 
 from __future__ import annotations
 
-from hickorybeam.tickets.apply import LogState, apply, content_digest, judge
+from hickorybeam.tickets.apply import LogState, apply, check_ticket, content_digest
 from hickorybeam.tickets.checks import find_faults
 from hickorybeam.tickets.codec import LogEntry
 from hickorybeam.tickets.service import ConfigService
@@ -14,5 +14,5 @@
     "apply",
     "content_digest",
     "find_faults",
-    "judge",
+    "check_ticket",
 )
--- a/src/hickorybeam/tickets/apply.py
+++ b/src/hickorybeam/tickets/apply.py
@@ -1,4 +1,4 @@
-"""The state that a log of change tickets gives, and what is to be said of a new ticket: pure."""
+"""State derived from the log of change tickets, and the verdict on a new ticket (pure)."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     from collections.abc import Mapping
 
 __all__ = (
-    "KEEP_NUMBERS",
+    "REMEMBERED_NUMBERS",
     "Accepted",
     "BelowFloor",
     "Conflict",
@@ -28,18 +28,18 @@
     "Verdict",
     "apply",
     "content_digest",
-    "judge",
+    "check_ticket",
     "normalized",
 )
 
-# How many ticket numbers are remembered, twice: the highest, and the latest accepted. At 890
-# changes a day the latest cover two days; a lost answer is settled within minutes.
-KEEP_NUMBERS = 2_048
+# Ticket numbers kept as the highest ones, and as many again as the latest accepted ones. At 890
+# changes a day the latest cover two days; a lost response is resolved within minutes.
+REMEMBERED_NUMBERS = 2_048
 
 
 @dataclass(frozen=True, slots=True)
 class UsedNumber:
-    """Where a number stands in the log, and the digest of its content."""
+    """The log position of an accepted ticket number, and the digest of the ticket's content."""
 
     position: int
     digest: str
@@ -47,11 +47,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LogState:
-    """Everything that the log up to one position says.
+    """The result of applying the log up to one position.
 
-    ``used`` remembers accepted numbers beyond the log's compaction, so that a number sent
-    again gets the same answer. It is bounded; ``floor`` is the highest number forgotten, and
-    a new ticket at or below it is refused, since it may have been used.
+    ``used`` keeps accepted numbers beyond the log's compaction, so that a ticket that is sent
+    again gets the same response. It is bounded; ``floor`` is the highest number dropped from it,
+    and a new ticket at or below the floor is refused, since its number may have been used.
     """
 
     config: ConfigState = field(default_factory=ConfigState)
@@ -60,46 +60,46 @@
 
     @property
     def position(self) -> int:
-        """How many tickets the log holds."""
+        """Number of tickets applied, compacted ones included."""
         return self.config.position
 
 
 @dataclass(frozen=True, slots=True)
 class Fresh:
-    """The ticket may be written at the next position."""
+    """The ticket can be appended at the next position."""
 
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """The same ticket was accepted before."""
+    """The same ticket was accepted before, at this position."""
 
     position: int
 
 
 @dataclass(frozen=True, slots=True)
 class Conflict:
-    """The number was accepted with other content."""
+    """The number was accepted with other content, at this position."""
 
     position: int
 
 
 @dataclass(frozen=True, slots=True)
 class BelowFloor:
-    """Whether the number was used is no longer known."""
+    """The number is at or below the floor, so whether it was used is no longer known."""
 
     floor: int
 
 
 @dataclass(frozen=True, slots=True)
 class Stale:
-    """Objects whose state was set by a later number, with that number."""
+    """The ticket changes objects that a higher number has set; each with that number."""
 
     objects: tuple[tuple[ObjectRef, int], ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Faulty:
-    """Every fault found."""
+    """The ticket is invalid; all faults found."""
 
     faults: tuple[str, ...]
 
@@ -108,7 +108,7 @@
 
 
 def content_digest(ticket: ChangeTicket) -> str:
-    """Return a digest of a ticket's content in which the order of its objects plays no part."""
+    """Return a digest of a ticket's content that does not depend on the order of its objects."""
     parts = sorted(
         (str(ref_of(obj)).encode() + msgspec.json.encode(obj) for obj in ticket.objects()),
     )
@@ -118,10 +118,10 @@
 
 
 def normalized(ticket: ChangeTicket) -> ChangeTicket:
-    """Return a ticket as every VM reads it from the log, where 100 and 100.0 are one number.
+    """Return a ticket as every VM decodes it from the log, where 100 and 100.0 are the same.
 
-    A ticket that can't be written, such as one with a rate that is no number, stays as it is
-    and is refused by the checks.
+    A ticket that cannot be encoded and decoded, such as one with a rate of NaN, is returned
+    unchanged; the checks refuse it.
     """
     try:
         return msgspec.json.decode(msgspec.json.encode(ticket), type=ChangeTicket)
@@ -129,8 +129,8 @@
         return ticket
 
 
-def judge(state: LogState, ticket: ChangeTicket) -> Verdict:
-    """Say what becomes of a ticket that is submitted at this state."""
+def check_ticket(state: LogState, ticket: ChangeTicket) -> Verdict:
+    """Return the verdict on a ticket that is submitted at this state."""
     known = state.used.get(ticket.number)
     if known is not None:
         same = known.digest == content_digest(ticket)
@@ -159,10 +159,10 @@
 
 
 def apply(state: LogState, ticket: ChangeTicket) -> LogState:
-    """Return the state after one more ticket of the log.
+    """Return the state after the log's next ticket.
 
-    A later number wins for each object, deleted ones included: their numbers stay, so a ticket
-    that was written before a deletion and arrives after it can't bring the object back.
+    For each object the highest ticket number wins. Deleted objects keep their number, so a
+    ticket with a lower number that is applied after the deletion cannot restore the object.
     """
     position = state.position + 1
     objects = dict(state.config.objects)
@@ -174,20 +174,20 @@
     config = ConfigState(position=position, head_ticket=ticket.number, objects=objects)
     used = {**state.used, ticket.number: UsedNumber(position, content_digest(ticket))}
     after = LogState(config=config, used=used, floor=state.floor)
-    return _forget(after) if len(used) > 3 * KEEP_NUMBERS else after
+    return _forget_old_numbers(after) if len(used) > 3 * REMEMBERED_NUMBERS else after
 
 
-def _forget(state: LogState) -> LogState:
-    """Forget old numbers, and deletions that the floor has made safe to forget.
+def _forget_old_numbers(state: LogState) -> LogState:
+    """Drop old numbers, and the deletions that the floor makes redundant.
 
     Without a bound, numbers and deletions would outgrow the platform's values and every VM's
-    memory over the years. The highest numbers stay so that the floor stays below what
-    operators use next; the latest stay so that an answer that was lost can still be settled.
-    A deletion at or below the floor protects nothing any more: every ticket that it outranks
-    is refused by its number alone.
+    memory over the years. The highest numbers are kept so that the floor stays below the
+    numbers that operators use next; the latest so that a lost response can still be resolved.
+    A deletion at or below the floor is redundant: every ticket with a lower number is refused
+    by its number alone.
     """
-    highest = frozenset(heapq.nlargest(KEEP_NUMBERS, state.used))
-    oldest = state.position - KEEP_NUMBERS
+    highest = frozenset(heapq.nlargest(REMEMBERED_NUMBERS, state.used))
+    oldest = state.position - REMEMBERED_NUMBERS
     kept = {
         number: known
         for number, known in state.used.items()
--- a/src/hickorybeam/tickets/checks.py
+++ b/src/hickorybeam/tickets/checks.py
@@ -1,4 +1,4 @@
-"""Checks of a change ticket against the state it would be applied to: pure, all faults at once."""
+"""Validation of a change ticket against the state it would be applied to; reports all faults."""
 
 from __future__ import annotations
 
@@ -31,13 +31,13 @@
 
 __all__ = ("MAX_NUMBER", "MAX_TICKET_BYTES", "find_faults")
 
-# Numbers travel in JSON, whose readers hold integers exactly only up to this bound.
+# JSON readers represent integers exactly only up to this bound.
 MAX_NUMBER = 2**53 - 1
-# The platform's values hold a megabyte; the rest is the entry's own framing.
+# A value of the platform holds a megabyte; the rest is left for the encoding of the log entry.
 MAX_TICKET_BYTES = 900_000
 MAX_PORT = 65_535
-MAX_NOTE = 1_000
-OWN_PATHS = "/v1/"
+MAX_NOTE_CHARS = 1_000
+RESERVED_PREFIX = "/v1/"
 
 _NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,127}")
 _MODEL_NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._:/@-]{0,127}")
@@ -49,10 +49,10 @@
 
 
 def find_faults(before: ConfigState, after: ConfigState, ticket: ChangeTicket) -> tuple[str, ...]:
-    """Return every fault of a ticket, each naming its object.
+    """Return all faults of a ticket, each with the object that it concerns.
 
-    :param before: the state that the ticket would be applied to.
-    :param after: the state that it would give.
+    :param before: state that the ticket would be applied to.
+    :param after: state with the ticket applied.
     """
     return (
         *_ticket_faults(before, ticket),
@@ -64,22 +64,22 @@
 def _ticket_faults(before: ConfigState, ticket: ChangeTicket) -> Iterator[str]:
     if not 1 <= ticket.number <= MAX_NUMBER:
         yield f"number: expected 1 to {MAX_NUMBER}, found {ticket.number}"
-    if len(ticket.note) > MAX_NOTE:
-        yield f"note: at most {MAX_NOTE} characters, found {len(ticket.note)}"
+    if len(ticket.note) > MAX_NOTE_CHARS:
+        yield f"note: at most {MAX_NOTE_CHARS} characters, found {len(ticket.note)}"
     if not ticket.changed_refs():
         yield "the ticket touches no object"
     for ref, count in Counter(ticket.changed_refs()).items():
         if count > 1:
-            yield f"{_show(ref)}: stands {count} times in the ticket"
+            yield f"{_describe(ref)}: stands {count} times in the ticket"
     for ref in ticket.deleted:
         if ref.kind not in _KINDS:
             yield f"deleted: unknown kind {ref.kind!r}"
         elif ref not in before.objects:
-            yield f"{_show(ref)}: deleted, but it never existed"
+            yield f"{_describe(ref)}: deleted, but it never existed"
 
 
 def _object_faults(obj: ConfigObject) -> Iterator[str]:
-    where = _show(ref_of(obj))
+    where = _describe(ref_of(obj))
     yield from (f"{where}: {fault}" for fault in _name_faults(obj))
     yield from (f"{where}: {fault}" for fault in _field_faults(obj))
 
@@ -100,48 +100,50 @@
 def _field_faults(obj: ConfigObject) -> Iterator[str]:
     match obj:
         case Region():
-            yield from _not_below(0, cost=obj.cost)
-            yield from _not_empty(data_centres=obj.data_centres)
+            yield from _at_least_faults(0, cost=obj.cost)
+            yield from _empty_faults(data_centres=obj.data_centres)
             yield from (
                 f"data_centres: {name!r} is no name"
                 for name in obj.data_centres
                 if not _NAME.fullmatch(name)
             )
         case ResidencyRule():
-            yield from _not_empty(regions=obj.regions)
+            yield from _empty_faults(regions=obj.regions)
         case ClientAccount():
-            yield from _not_below(0, rate=obj.rate, burst=obj.burst)
-            yield from _above(0, weight=obj.weight)
+            yield from _at_least_faults(0, rate=obj.rate, burst=obj.burst)
+            yield from _above_faults(0, weight=obj.weight)
         case ModelService():
-            yield from _not_empty(regions=obj.regions)
-            yield from _not_below(0, min_engines=obj.min_engines, weight_bytes=obj.weight_bytes)
+            yield from _empty_faults(regions=obj.regions)
+            yield from _at_least_faults(
+                0, min_engines=obj.min_engines, weight_bytes=obj.weight_bytes
+            )
         case PlainService():
-            yield from _not_empty(regions=obj.regions)
-            yield from _not_below(0, cost=obj.cost)
-            yield from _above(0, timeout_ms=obj.timeout_ms)
+            yield from _empty_faults(regions=obj.regions)
+            yield from _at_least_faults(0, cost=obj.cost)
+            yield from _above_faults(0, timeout_ms=obj.timeout_ms)
             yield from (
                 f"non_idempotent: {method!r} is no method in capitals"
                 for method in obj.non_idempotent
                 if not _METHOD.fullmatch(method)
             )
         case ServiceRoute():
-            yield from _not_below(0, timeout_ms=obj.timeout_ms)
-            yield from _place_faults(obj)
+            yield from _at_least_faults(0, timeout_ms=obj.timeout_ms)
+            yield from _route_faults(obj)
         case BackendServer():
-            yield from _above(0, slots=obj.slots, tokens_per_s=obj.tokens_per_s)
+            yield from _above_faults(0, slots=obj.slots, tokens_per_s=obj.tokens_per_s)
             if not 1 <= obj.port <= MAX_PORT:
                 yield f"port: expected 1 to {MAX_PORT}, found {obj.port}"
             if not _is_ip(obj.host):
                 yield f"host: expected an IP number, found {obj.host!r}"
 
 
-def _place_faults(route: ServiceRoute) -> Iterator[str]:
+def _route_faults(route: ServiceRoute) -> Iterator[str]:
     if not _HOST.fullmatch(route.host):
         yield f"host: expected lower-case letters, digits, dots and hyphens, found {route.host!r}"
     if not _PREFIX.fullmatch(route.prefix):
         yield f"prefix: expected a path that begins and ends with a slash, found {route.prefix!r}"
-    elif route.prefix.startswith(OWN_PATHS):
-        yield f"prefix: paths under {OWN_PATHS!r} are the gateway's own"
+    elif route.prefix.startswith(RESERVED_PREFIX):
+        yield f"prefix: paths under {RESERVED_PREFIX!r} are the gateway's own"
 
 
 def _reference_faults(after: ConfigState, ticket: ChangeTicket) -> Iterator[str]:
@@ -149,18 +151,18 @@
     for ref, entry in after.objects.items():
         if entry.value is None:
             continue
-        for target in _targets(entry.value):
+        for target in _references(entry.value):
             found = after.objects.get(target)
             if found is not None and found.value is not None:
                 continue
             if target in deleted:
-                yield f"{_show(target)}: deleted, but {_show(ref)} refers to it"
+                yield f"{_describe(target)}: deleted, but {_describe(ref)} refers to it"
             else:
-                yield f"{_show(ref)}: refers to {_show(target)}, which does not exist"
-        yield from (f"{_show(ref)}: {fault}" for fault in _relation_faults(after, entry.value))
+                yield f"{_describe(ref)}: refers to {_describe(target)}, which does not exist"
+        yield from (f"{_describe(ref)}: {fault}" for fault in _relation_faults(after, entry.value))
 
 
-def _targets(obj: ConfigObject) -> Iterator[ObjectRef]:
+def _references(obj: ConfigObject) -> Iterator[ObjectRef]:
     match obj:
         case ResidencyRule():
             yield from _refs(ObjectKind.REGION, *obj.regions)
@@ -207,19 +209,19 @@
     return (ObjectRef(kind.value, name) for name in names)
 
 
-def _not_below(least: float, **fields: float) -> Iterator[str]:
+def _at_least_faults(least: float, **fields: float) -> Iterator[str]:
     for name, value in fields.items():
         if not (math.isfinite(value) and value >= least):
             yield f"{name}: expected a finite number of at least {least}, found {value}"
 
 
-def _above(bound: float, **fields: float) -> Iterator[str]:
+def _above_faults(bound: float, **fields: float) -> Iterator[str]:
     for name, value in fields.items():
         if not (math.isfinite(value) and value > bound):
             yield f"{name}: expected a finite number above {bound}, found {value}"
 
 
-def _not_empty(**fields: tuple[str, ...]) -> Iterator[str]:
+def _empty_faults(**fields: tuple[str, ...]) -> Iterator[str]:
     for name, value in fields.items():
         if not value:
             yield f"{name}: expected at least one"
@@ -233,5 +235,5 @@
     return True
 
 
-def _show(ref: ObjectRef) -> str:
+def _describe(ref: ObjectRef) -> str:
     return f"{ref.kind} {ref.name!r}"
--- a/src/hickorybeam/tickets/codec.py
+++ b/src/hickorybeam/tickets/codec.py
@@ -1,4 +1,4 @@
-"""How the log and its snapshots are written: JSON, readable with the platform's own tools."""
+"""Encoding of the log and its snapshots as JSON, which the platform's own tools can display."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     from collections.abc import Iterator
 
 __all__ = (
-    "PART_BYTES",
+    "TARGET_PART_BYTES",
     "Head",
     "LogEntry",
     "Snapshot",
@@ -38,11 +38,11 @@
     "encode_snapshot",
 )
 
-# Below the platform's limit of a megabyte for one value.
-PART_BYTES = 800_000
+# Below the platform's limit of a megabyte for one value. A larger item has its own part.
+TARGET_PART_BYTES = 800_000
 
 _NULL = msgspec.Raw(b"null")
-_CLASSES: dict[str, type[ConfigObject]] = {
+_OBJECT_CLASSES: dict[str, type[ConfigObject]] = {
     ObjectKind.REGION.value: Region,
     ObjectKind.RESIDENCY.value: ResidencyRule,
     ObjectKind.ACCOUNT.value: ClientAccount,
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Head:
-    """The log's last position and the number of the ticket there."""
+    """The log's last position and the number of the ticket at it."""
 
     position: int = 0
     number: int = 0
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogEntry:
-    """A ticket at its position."""
+    """A ticket and its log position."""
 
     position: int
     ticket: ChangeTicket
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SnapshotHead:
-    """Names the state at one position and in how many parts it is written."""
+    """The position of a snapshot, the state's scalar fields and the number of parts."""
 
     position: int
     head_ticket: int
@@ -82,16 +82,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """The state at one position, in parts that fit a value of the platform."""
+    """The state at one position, encoded in parts that each fit a value of the platform."""
 
     head: SnapshotHead
     parts: tuple[bytes, ...]
 
 
-class _Item(msgspec.Struct, frozen=True, omit_defaults=True):
-    """One object with its number, or one used number; a deleted object's value is null.
+class _SnapshotItem(msgspec.Struct, frozen=True, omit_defaults=True):
+    """One object with its ticket number, or one used number; a deleted object's value is null.
 
-    A struct of the library, since it decodes a raw field in no other class.
+    This is a ``msgspec.Struct`` because msgspec decodes ``Raw`` fields in no other class.
     """
 
     ticket: int
@@ -101,8 +101,8 @@
 
 
 def encode_snapshot(state: LogState) -> Snapshot:
-    """Write a state in parts; equal states give equal bytes."""
-    parts = tuple(_pack(_items(state)))
+    """Return a state encoded in parts; equal states give equal bytes."""
+    parts = tuple(_pack_parts(_encoded_items(state)))
     head = SnapshotHead(
         position=state.position,
         head_ticket=state.config.head_ticket,
@@ -113,39 +113,39 @@
 
 
 def decode_snapshot(snapshot: Snapshot) -> LogState:
-    """Read a state back."""
+    """Return the state that a snapshot encodes."""
     objects: dict[ObjectRef, Versioned[ConfigObject]] = {}
     used: dict[int, UsedNumber] = {}
     for part in snapshot.parts:
-        for item in msgspec.json.decode(part, type=tuple[_Item, ...]):
+        for item in msgspec.json.decode(part, type=tuple[_SnapshotItem, ...]):
             if item.used is not None:
                 used[item.ticket] = item.used
             if item.ref is not None:
-                objects[item.ref] = Versioned(item.ticket, _value(item.ref, item.value))
+                objects[item.ref] = Versioned(item.ticket, _decode_value(item.ref, item.value))
     head = snapshot.head
     config = ConfigState(position=head.position, head_ticket=head.head_ticket, objects=objects)
     return LogState(config=config, used=used, floor=head.floor)
 
 
-def _value(ref: ObjectRef, raw: msgspec.Raw) -> ConfigObject | None:
+def _decode_value(ref: ObjectRef, raw: msgspec.Raw) -> ConfigObject | None:
     if raw == _NULL:
         return None
-    return msgspec.json.decode(raw, type=_CLASSES[ref.kind])
+    return msgspec.json.decode(raw, type=_OBJECT_CLASSES[ref.kind])
 
 
-def _items(state: LogState) -> Iterator[bytes]:
+def _encoded_items(state: LogState) -> Iterator[bytes]:
     for ref, entry in sorted(state.config.objects.items(), key=lambda pair: pair[0]):
         value = msgspec.Raw(msgspec.json.encode(entry.value))
-        yield msgspec.json.encode(_Item(entry.ticket, ref, value))
+        yield msgspec.json.encode(_SnapshotItem(entry.ticket, ref, value))
     for number, known in sorted(state.used.items()):
-        yield msgspec.json.encode(_Item(number, used=known))
+        yield msgspec.json.encode(_SnapshotItem(number, used=known))
 
 
-def _pack(items: Iterator[bytes]) -> Iterator[bytes]:
+def _pack_parts(items: Iterator[bytes]) -> Iterator[bytes]:
     part: list[bytes] = []
     size = 0
     for item in items:
-        if part and size + len(item) > PART_BYTES:
+        if part and size + len(item) > TARGET_PART_BYTES:
             yield b"[" + b",".join(part) + b"]"
             part, size = [], 0
         part.append(item)
--- a/src/hickorybeam/tickets/log.py
+++ b/src/hickorybeam/tickets/log.py
@@ -1,12 +1,13 @@
-"""The log of change tickets as it lies in the platform.
+"""Storage of the log of change tickets in the platform.
 
-``config/head`` names the last position, ``config/log/<position>`` holds the tickets, and
-``config/snapshot`` names the latest state written whole, in ``config/parts/<position>/<n>``.
+``config/head`` holds the last position, ``config/log/<position>`` the tickets, and
+``config/snapshot`` the head of the latest snapshot, whose parts are in
+``config/parts/<position>/<n>``.
 
-A ticket is accepted by one transaction that compares the head alone. Every accepted ticket
-moves the head, so an unmoved head implies that every object still carries the number that
-the ticket was checked against; comparing the objects' numbers too could not fail by itself.
-Comparing only that the next position is free would not do: once compaction has removed that
+A ticket is appended by one transaction that compares only the head. Every accepted ticket
+changes the head, so an unchanged head implies that every object still has the number that the
+ticket was checked against; also comparing the objects' numbers would add nothing. Comparing
+only that the next position is free would not be enough: once compaction has removed that
 position, the delayed write of a paused VM would find it free again.
 """
 
@@ -37,14 +38,14 @@
 LOG_PREFIX = "config/log/"
 SNAPSHOT_KEY = "config/snapshot"
 PARTS_PREFIX = "config/parts/"
-PAGE_ENTRIES = 100
-# The service's default limit of operations in one transaction is 128.
-DELETES_PER_TXN = 100
+MAX_PAGE_ENTRIES = 100
+# The platform service by default allows 128 operations in one transaction.
+MAX_DELETES_PER_TXN = 100
 
 
 @dataclass(frozen=True, slots=True)
 class HeadRead:
-    """The head and the revision of its last write, 0 when there is none yet."""
+    """The head and the revision of its last write; 0 if it was never written."""
 
     head: Head
     mod_revision: int
@@ -52,23 +53,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Page:
-    """Entries in order without a gap, and the revision at which they were read."""
+    """Consecutive entries in order, and the revision at which they were read."""
 
     entries: tuple[LogEntry, ...]
     revision: int
 
 
 class TicketLog:
-    """Reads and writes the log.
+    """Reads, appends to and compacts the log.
 
-    :param platform: the port; its errors pass through.
+    :param platform: key-value store that holds the log; its errors are passed on.
     """
 
     def __init__(self, platform: Platform) -> None:
         self._platform = platform
 
     async def head(self) -> HeadRead:
-        """Read the head."""
+        """Return the head of the log."""
         found = await self._platform.read(HEAD_KEY)
         if not found.items:
             return HeadRead(Head(), 0)
@@ -76,7 +77,7 @@
         return HeadRead(msgspec.json.decode(item.value, type=Head), item.mod_revision)
 
     async def append(self, read: HeadRead, entry: LogEntry) -> bool:
-        """Write a ticket after the head that was read; :return: whether the head was unmoved."""
+        """Append a ticket after the head that was read; :return: whether the head was unchanged."""
         head = Head(entry.position, entry.ticket.number)
         done = await self._platform.txn(
             (Compare(HEAD_KEY, read.mod_revision),),
@@ -88,21 +89,21 @@
         return done.done
 
     async def entries(self, after: int) -> Page:
-        """Read the entries that follow a position, up to the first gap."""
+        """Return the entries that follow a position, up to the first gap."""
         entries: list[LogEntry] = []
         while True:
             start = _entry_key(after + len(entries) + 1)
-            read = await self._platform.read_prefix(LOG_PREFIX, start=start, limit=PAGE_ENTRIES)
+            read = await self._platform.read_prefix(LOG_PREFIX, start=start, limit=MAX_PAGE_ENTRIES)
             found = tuple(msgspec.json.decode(item.value, type=LogEntry) for item in read.items)
             for entry in found:
                 if entry.position != after + len(entries) + 1:
                     return Page(tuple(entries), read.revision)
                 entries.append(entry)
-            if len(found) < PAGE_ENTRIES:
+            if len(found) < MAX_PAGE_ENTRIES:
                 return Page(tuple(entries), read.revision)
 
     async def snapshot_head(self) -> tuple[SnapshotHead | None, int]:
-        """Read which state is written whole, and the revision of that note."""
+        """Return the head of the latest snapshot, and the revision of its last write."""
         found = await self._platform.read(SNAPSHOT_KEY)
         if not found.items:
             return None, 0
@@ -110,9 +111,9 @@
         return msgspec.json.decode(item.value, type=SnapshotHead), item.mod_revision
 
     async def snapshot(self) -> LogState | None:
-        """Read the latest state written whole, or ``None`` when there is none.
+        """Return the state of the latest snapshot, or ``None`` when there is none.
 
-        A snapshot that is replaced while it is read lacks parts; the newer one is read then.
+        A snapshot that is replaced while it is read lacks parts; then the newer one is read.
         """
         while True:
             head, _ = await self.snapshot_head()
@@ -123,10 +124,10 @@
                 return decode_snapshot(Snapshot(head, tuple(item.value for item in found.items)))
 
     async def compact(self, state: LogState) -> bool:
-        """Write a state whole and remove what the snapshot before it made needless.
+        """Write a snapshot, then delete the previous one and the entries that it covers.
 
-        Entries between the two snapshots stay, so that a VM which is only a little behind
-        still finds the tickets themselves. :return: whether this snapshot was put in place.
+        Entries between the two snapshots stay, so that a VM that is only a little behind still
+        finds the tickets themselves. :return: whether this snapshot became the latest.
         """
         old, revision = await self.snapshot_head()
         if old is not None and old.position >= state.position:
@@ -134,35 +135,35 @@
         snapshot = encode_snapshot(state)
         for index, part in enumerate(snapshot.parts):
             await self._platform.txn((), (Put(_part_key(state.position, index), part),))
-        # Two VMs may write snapshots at once: the note moves only from the one that was read.
+        # Two VMs may write snapshots at once: only the one that sees the old head unchanged wins.
         done = await self._platform.txn(
             (Compare(SNAPSHOT_KEY, revision),),
             (Put(SNAPSHOT_KEY, msgspec.json.encode(snapshot.head)),),
         )
         if not done.done:
-            await self._drop_parts(snapshot.head)
+            await self._delete_unused_parts(snapshot.head)
         elif old is not None:
-            await self._remove(old)
+            await self._delete_superseded(old)
         return done.done
 
-    async def _drop_parts(self, mine: SnapshotHead) -> None:
-        placed, _ = await self.snapshot_head()
-        if placed is not None and placed.position != mine.position:
-            keys = (_part_key(mine.position, index) for index in range(mine.parts))
+    async def _delete_unused_parts(self, own: SnapshotHead) -> None:
+        current, _ = await self.snapshot_head()
+        if current is not None and current.position != own.position:
+            keys = (_part_key(own.position, index) for index in range(own.parts))
             await self._platform.txn((), tuple(Delete(key) for key in keys))
 
-    async def _remove(self, old: SnapshotHead) -> None:
+    async def _delete_superseded(self, old: SnapshotHead) -> None:
         parts = [_part_key(old.position, index) for index in range(old.parts)]
-        read = await self._platform.read_prefix(LOG_PREFIX, limit=10 * DELETES_PER_TXN)
+        read = await self._platform.read_prefix(LOG_PREFIX, limit=10 * MAX_DELETES_PER_TXN)
         last = _entry_key(old.position)
         keys = [*parts, *(item.key for item in read.items if item.key <= last)]
-        for at in range(0, len(keys), DELETES_PER_TXN):
-            chunk = keys[at : at + DELETES_PER_TXN]
+        for at in range(0, len(keys), MAX_DELETES_PER_TXN):
+            chunk = keys[at : at + MAX_DELETES_PER_TXN]
             await self._platform.txn((), tuple(Delete(key) for key in chunk))
 
 
 def entries_of(batch: WatchBatch) -> tuple[LogEntry, ...]:
-    """Return the entries that a watch of the log brought."""
+    """Return the log entries in a batch of a watch."""
     return tuple(msgspec.json.decode(item.value, type=LogEntry) for item in batch.puts)
 
 
--- a/src/hickorybeam/tickets/service.py
+++ b/src/hickorybeam/tickets/service.py
@@ -1,4 +1,4 @@
-"""The service ``config``: which change tickets are in force on this VM."""
+"""The service ``config``: keeps the configuration of this VM up to date from the ticket log."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
 from hickorybeam.tickets.codec import LogEntry, Snapshot, decode_snapshot, encode_snapshot
 from hickorybeam.tickets.log import LOG_PREFIX, TicketLog, entries_of
 from hickorybeam.tickets.spread import (
-    FETCH,
-    NEVER_MS,
-    STATE,
+    FETCH_TOPIC,
+    NEVER_CONFIRMED_MS,
+    STATE_TOPIC,
     FetchReply,
     FetchRequest,
     Freshness,
     Note,
     StateReply,
     StateRequest,
-    ask_order,
+    peers_to_ask,
     store_watchers,
 )
 from hickorybeam.tickets.submit import Submitter
@@ -42,35 +42,35 @@
 
 __all__ = ("ConfigService",)
 
-NOTE = "config"
-# Peers asked in one round: two watchers and one more, so that a round ends in bounded time.
-ASK_AT_MOST = 3
-# Read-backs that may fail to confirm before a VM stops relying on its neighbours.
-FALLBACK_ROUNDS = 3
-# Read-backs spread by this much each way, so that VMs started together don't call in step.
+NOTE_NAME = "config"
+# Two watchers and one more; the limit bounds the time that a round takes.
+MAX_PEERS_PER_ROUND = 3
+# Read-back intervals without a confirmation after which a VM watches the platform itself.
+FALLBACK_READ_BACKS = 3
+# Relative, in both directions, so that VMs started together do not call at the same time.
 READ_BACK_JITTER = 0.2
-WATCH_RETRY_MS = 500
-ROLE_CHECK_MS = 500
-SUBMISSIONS_AT_ONCE = 64
-REPLY_ENTRIES = 100
-# Entries that arrive before the ones they follow are held back up to this many.
-EARLY_ENTRIES = 100
+MAX_WATCH_RETRY_PAUSE_MS = 500
+ROLE_CHECK_INTERVAL_MS = 500
+MAX_QUEUED_SUBMISSIONS = 64
+MAX_REPLY_ENTRIES = 100
+# Entries held back because entries before them have not arrived yet.
+MAX_EARLY_ENTRIES = 100
 
 
 @dataclass(frozen=True, slots=True)
-class _Entries:
-    """Tickets learned, in any order, some perhaps known."""
+class _EntriesMessage:
+    """Received log entries, in any order, possibly already applied."""
 
     entries: tuple[LogEntry, ...]
-    taken: Reply[None]
+    applied: Reply[None]
 
 
 @dataclass(frozen=True, slots=True)
-class _Whole:
-    """A state learned whole."""
+class _StateMessage:
+    """A received state that may replace the one in force."""
 
     state: LogState
-    taken: Reply[None]
+    applied: Reply[None]
 
 
 @dataclass(frozen=True, slots=True)
@@ -82,9 +82,9 @@
 class ConfigService(Service):
     """Holds the state in force and brings it up to date from the platform and from peers.
 
-    One task owns the state and moves it forward, one whole ticket at a time; a reader takes
-    the state once and decides by it, so it never sees half of a ticket nor an older state
-    than before.
+    A single task replaces the immutable state, one whole ticket at a time and only by newer
+    states. A reader fetches the state once per decision, so it never sees a ticket applied in
+    part nor an older state than before.
     """
 
     name = ports.CONFIG
@@ -102,50 +102,50 @@
         self._state = LogState()
         self._loaded = False
         self._freshness = Freshness()
-        self._changed = anyio.Event()
-        self._nudge = anyio.Event()
-        self._hint: EntryVm | None = None
-        self._hinted = anyio.Event()
-        self._rewatch = anyio.Event()
-        self._mail: Mailbox[_Entries | _Whole] = Mailbox()
-        self._submissions: Mailbox[_Submission] = Mailbox(size=SUBMISSIONS_AT_ONCE)
-        self._compact: Mailbox[LogState] = Mailbox(size=1)
-        self._recent: deque[LogEntry] = deque(maxlen=2 * cfg.config.snapshot_every)
-        self._early: dict[int, LogEntry] = {}
-        self._snapshot: Snapshot | None = None
+        self._position_changed = anyio.Event()
+        self._read_back_requested = anyio.Event()
+        self._hinted_vm: EntryVm | None = None
+        self._hint_received = anyio.Event()
+        self._watch_restart = anyio.Event()
+        self._owner_mailbox: Mailbox[_EntriesMessage | _StateMessage] = Mailbox()
+        self._submissions: Mailbox[_Submission] = Mailbox(size=MAX_QUEUED_SUBMISSIONS)
+        self._snapshot_requests: Mailbox[LogState] = Mailbox(size=1)
+        self._recent_entries: deque[LogEntry] = deque(maxlen=2 * cfg.config.snapshot_every)
+        self._early_entries: dict[int, LogEntry] = {}
+        self._encoded_snapshot: Snapshot | None = None
         self._log: TicketLog
         self._members: ports.Members | None = None
         self._peers: ports.Peers | None = None
 
-    # What neighbours ask
+    # Interface for other services
 
     def current(self) -> ConfigState:
-        """Return the state in force now."""
+        """Return the state currently in force."""
         return self._state.config
 
     def age_ms(self) -> int:
-        """Return how long ago this VM last confirmed that it missed nothing."""
+        """Return the time since this VM last confirmed that its state is up to date."""
         return self._freshness.age_ms(self._clock.now())
 
     def require_fresh(self) -> None:
-        """Raise ``CONFIG_STALE`` when the age is over the setting's bound, if there is one."""
+        """Raise ``CONFIG_STALE`` if the age exceeds ``stale_after_ms``; 0 means no bound."""
         bound = self._cfg.config.stale_after_ms
         if bound and self.age_ms() > bound:
             raise GatewayError(ErrorKind.CONFIG_STALE)
 
     async def wait_for(self, position: int, *, timeout_ms: int) -> ConfigState:
-        """Catch up to a log position or raise ``CONFIG_BEHIND``."""
+        """Catch up to a log position, or raise ``CONFIG_BEHIND``."""
         if self._state.position < position:
-            self._nudge.set()
+            self._read_back_requested.set()
             await self._wait_position(position, timeout_ms)
         if self._state.position < position:
             raise GatewayError(ErrorKind.CONFIG_BEHIND, f"at {self._state.position}")
         return self._state.config
 
     async def wait_past(self, position: int) -> ConfigState:
-        """Wait until the state in force is past this position."""
+        """Wait until the state in force is past a log position."""
         while self._state.position <= position:
-            await self._changed.wait()
+            await self._position_changed.wait()
         return self._state.config
 
     async def submit(self, ticket: ChangeTicket) -> int:
@@ -160,17 +160,17 @@
             raise
 
     async def log(self, start: int, limit: int) -> tuple[tuple[int, ChangeTicket], ...]:
-        """Return tickets after a position, in order; the oldest are in snapshots only."""
-        entries = self._held_after(start)
+        """Return the tickets after a position, in order, without those that were compacted away."""
+        entries = self._recent_after(start)
         if start < self._state.position and (not entries or entries[0].position > start + 1):
             entries = (await self._log.entries(start)).entries or entries
         return tuple((entry.position, entry.ticket) for entry in entries[:limit])
 
-    def _held_after(self, position: int) -> tuple[LogEntry, ...]:
-        return tuple(entry for entry in self._recent if entry.position > position)
+    def _recent_after(self, position: int) -> tuple[LogEntry, ...]:
+        return tuple(entry for entry in self._recent_entries if entry.position > position)
 
     def status(self) -> dict[str, object]:
-        """Return what an operator wants to see of this service."""
+        """Return the fields of this service for the status output."""
         return {
             "position": self._state.position,
             "head_ticket": self._state.config.head_ticket,
@@ -179,129 +179,139 @@
             "objects": len(self._state.config.objects),
         }
 
-    # Life
+    # Lifecycle
 
     def bind(self, kernel: Kernel) -> None:
-        """Find the platform, and peers where there are any."""
+        """Look up the platform, and the members and peers services if they exist."""
         self._log = TicketLog(kernel.find(ports.PLATFORM, Platform))  # type: ignore[type-abstract]
         self._platform = kernel.find(ports.PLATFORM, Platform)  # type: ignore[type-abstract]
         if kernel.has(ports.MEMBERS):
             self._members = kernel.find(ports.MEMBERS, ports.Members)  # type: ignore[type-abstract]
-            self._members.subscribe(NOTE, self._on_note)
+            self._members.subscribe(NOTE_NAME, self._on_note)
         if kernel.has(ports.PEERS):
             self._peers = kernel.find(ports.PEERS, ports.Peers)  # type: ignore[type-abstract]
-            self._peers.serve(FETCH, self._on_fetch)
-            self._peers.serve(STATE, self._on_state)
+            self._peers.serve(FETCH_TOPIC, self._on_fetch)
+            self._peers.serve(STATE_TOPIC, self._on_state)
 
     async def main(self, started: Started) -> None:
-        """Load, then follow the log until cancelled."""
+        """Load the state, then keep it up to date until cancelled."""
         async with anyio.create_task_group() as tg:
-            tg.start_soon(self._own_state)
-            # Without the platform this fails, and peers are up only after this service: so it
-            # starts empty, refuses as not ready, and the read-back loads from a peer.
+            tg.start_soon(self._run_state_owner)
+            # This fails while the platform is unavailable, and peers start only after this
+            # service. The VM then starts with an empty state, refuses requests as not ready, and
+            # the read-back loads the state from a peer.
             await self._read_platform()
             started()
             for task in (
                 self._read_back,
                 self._watch,
-                self._follow_hints,
-                self._take_submissions,
+                self._fetch_on_hints,
+                self._process_submissions,
                 self._write_snapshots,
             ):
                 tg.start_soon(task)
 
-    # The owner of the state
+    # The task that owns the state
 
-    async def _own_state(self) -> None:
-        async for message in self._mail:
+    async def _run_state_owner(self) -> None:
+        async for message in self._owner_mailbox:
             match message:
-                case _Entries(entries, taken):
-                    self._take_entries(entries)
-                    taken.set(None)
-                case _Whole(state, taken):
+                case _EntriesMessage(entries, applied):
+                    self._apply_in_order(entries)
+                    applied.set(None)
+                case _StateMessage(state, applied):
                     if state.position > self._state.position:
-                        self._recent.clear()
-                        self._enter(state)
-                    taken.set(None)
+                        self._recent_entries.clear()
+                        self._install_state(state)
+                    applied.set(None)
 
-    def _take_entries(self, entries: tuple[LogEntry, ...]) -> None:
-        """Apply what follows without a gap; hold back what came too early."""
+    def _apply_in_order(self, entries: tuple[LogEntry, ...]) -> None:
+        """Apply consecutive entries; hold back those that come after a gap."""
         for entry in entries:
             if entry.position > self._state.position:
-                self._early[entry.position] = entry
-        while self._state.position + 1 in self._early:
-            entry = self._early.pop(self._state.position + 1)
-            self._recent.append(entry)
-            self._enter(apply(self._state, entry.ticket))
-        held = sorted(at for at in self._early if at > self._state.position)[:EARLY_ENTRIES]
-        self._early = {at: self._early[at] for at in held}
-
-    def _enter(self, state: LogState) -> None:
+                self._early_entries[entry.position] = entry
+        while self._state.position + 1 in self._early_entries:
+            entry = self._early_entries.pop(self._state.position + 1)
+            self._recent_entries.append(entry)
+            self._install_state(apply(self._state, entry.ticket))
+        held = sorted(at for at in self._early_entries if at > self._state.position)[
+            :MAX_EARLY_ENTRIES
+        ]
+        self._early_entries = {at: self._early_entries[at] for at in held}
+
+    def _install_state(self, state: LogState) -> None:
         self._state = state
         self._loaded = True
         self._position.set(state.position)
-        self._changed.set()
-        self._changed = anyio.Event()
+        self._position_changed.set()
+        self._position_changed = anyio.Event()
         if self._members is not None:
-            self._members.publish(NOTE, msgspec.msgpack.encode(Note(state.position)), urgent=True)
+            self._members.publish(
+                NOTE_NAME, msgspec.msgpack.encode(Note(state.position)), urgent=True
+            )
 
-    async def _learn(self, entries: tuple[LogEntry, ...]) -> None:
-        taken: Reply[None] = Reply()
-        self._mail.post(_Entries(entries, taken))
-        await taken.wait()
+    async def _apply_entries(self, entries: tuple[LogEntry, ...]) -> None:
+        applied: Reply[None] = Reply()
+        self._owner_mailbox.post(_EntriesMessage(entries, applied))
+        await applied.wait()
 
-    async def _learn_whole(self, state: LogState) -> None:
-        taken: Reply[None] = Reply()
-        self._mail.post(_Whole(state, taken))
-        await taken.wait()
+    async def _replace_state(self, state: LogState) -> None:
+        applied: Reply[None] = Reply()
+        self._owner_mailbox.post(_StateMessage(state, applied))
+        await applied.wait()
 
-    # From the platform
+    # Reading from the platform
 
     async def _read_platform(self) -> bool:
-        """Catch up with the platform; :return: whether it answered."""
+        """Catch up with the platform; :return: whether it could be read."""
         try:
             await self._catch_up()
         except GatewayError as exc:
             self._retries.labels("config_read").inc()
-            logging.warning("configuration not read from the platform: %s", exc.kind.value)
+            logging.warning("cannot read the ticket log from the platform: %s", exc.kind.value)
             return False
         return True
 
     async def _catch_up(self) -> None:
-        """Read the head and whatever is missing, and note that nothing is."""
+        """Read the head and the missing entries, then confirm that the state is up to date."""
         asked_at = self._clock.now()
         held = self._state.position
         read = await self._log.head()
         if read.head.position > self._state.position:
             await self._read_missing()
         if read.head.position < held:
-            # Restored from an old backup: what is in force here was accepted, and stays.
+            # The platform was restored from an old backup. The tickets in force here were
+            # accepted, so they stay in force.
             self._rejected.labels("log_went_back").inc()
-            logging.error("the platform's log ends at %d, before %d", read.head.position, held)
+            logging.error(
+                "the platform's ticket log ends at position %d, but position %d is in force here",
+                read.head.position,
+                held,
+            )
             return
         if self._freshness.confirm(held=self._state.position, head=read.head.position, at=asked_at):
             self._loaded = True
 
     async def _read_missing(self) -> int:
-        """Read the log after our position; :return: the revision it was read at."""
+        """Read and apply the log after the own position; :return: the revision that was read."""
         page = await self._log.entries(self._state.position)
         if not page.entries:
             state = await self._log.snapshot()
             if state is not None and state.position > self._state.position:
-                await self._learn_whole(state)
+                await self._replace_state(state)
                 page = await self._log.entries(self._state.position)
-        await self._learn(page.entries)
+        await self._apply_entries(page.entries)
         return page.revision
 
     async def _watch(self) -> None:
-        """Watch the log while this VM is one of its data centre's watchers."""
+        """Watch the log while this VM is one of the watchers of its data centre."""
         while True:
             if not self._is_watcher():
-                await self._clock.sleep(ROLE_CHECK_MS)
+                await self._clock.sleep(ROLE_CHECK_INTERVAL_MS)
                 continue
-            self._rewatch = anyio.Event()
+            self._watch_restart = anyio.Event()
             async with anyio.create_task_group() as tg:
-                tg.start_soon(self._end_watch, tg.cancel_scope)
+                tg.start_soon(self._cancel_on_restart, tg.cancel_scope)
                 await self._watch_once()
                 tg.cancel_scope.cancel()
 
@@ -309,84 +319,86 @@
         try:
             revision = await self._read_missing()
             async for batch in self._platform.watch(LOG_PREFIX, after=revision):
-                await self._learn(entries_of(batch))
+                await self._apply_entries(entries_of(batch))
         except GatewayError as exc:
-            # A compacted revision or a broken connection: read again from our own position.
+            # A compacted revision or a broken connection: read again from the own position.
             self._retries.labels(f"config_{exc.kind.value}").inc()
-        await self._clock.sleep(self._rng.uniform(0.5, 1.0) * WATCH_RETRY_MS)
+        await self._clock.sleep(self._rng.uniform(0.5, 1.0) * MAX_WATCH_RETRY_PAUSE_MS)
 
-    async def _end_watch(self, scope: anyio.CancelScope) -> None:
-        await self._rewatch.wait()
+    async def _cancel_on_restart(self, scope: anyio.CancelScope) -> None:
+        await self._watch_restart.wait()
         scope.cancel()
 
     def _is_watcher(self) -> bool:
         if self._members is None:
             return True
-        me = self._members.own_vm
-        chosen = store_watchers(self._members.vms(), me.data_centre)
-        return me.id in {vm.id for vm in chosen} or self._left_alone()
+        own_vm = self._members.own_vm
+        watchers = store_watchers(self._members.vms(), own_vm.data_centre)
+        return own_vm.id in {vm.id for vm in watchers} or self._confirmation_overdue()
 
-    def _left_alone(self) -> bool:
-        return self.age_ms() > FALLBACK_ROUNDS * self._cfg.config.read_back_ms
+    def _confirmation_overdue(self) -> bool:
+        return self.age_ms() > FALLBACK_READ_BACKS * self._cfg.config.read_back_ms
 
-    # The slow read that every watch is paired with
+    # The periodic read-back, which detects what watches and notes missed
 
     async def _read_back(self) -> None:
         while True:
             jitter = self._rng.uniform(1 - READ_BACK_JITTER, 1 + READ_BACK_JITTER)
-            await self._sleep_or_nudge(self._cfg.config.read_back_ms * jitter)
-            if not self._is_watcher() and await self._ask_round():
-                self._rewatch.set()
+            await self._sleep_until_requested(self._cfg.config.read_back_ms * jitter)
+            if not self._is_watcher() and await self._ask_peers():
+                self._watch_restart.set()
                 continue
             before = self._state.position
             if not await self._read_platform():
-                await self._ask_round()
+                await self._ask_peers()
             elif self._state.position > before:
-                # The read found what the watch should have told: it may be silent for good.
-                # One that is only late costs a new watch, once.
+                # The watch should have delivered what was read: it may be broken without an
+                # error. If it was only late, this costs one new watch.
                 self._retries.labels("config_watch_silent").inc()
-                self._rewatch.set()
+                self._watch_restart.set()
 
-    async def _sleep_or_nudge(self, ms: float) -> None:
-        await self._wait(self._nudge, ms)
-        self._nudge = anyio.Event()
+    async def _sleep_until_requested(self, ms: float) -> None:
+        await self._wait(self._read_back_requested, ms)
+        self._read_back_requested = anyio.Event()
 
-    # From peers
+    # Reading from peers
 
-    async def _ask_round(self) -> bool:
-        """Ask peers in turn until one with a fresh confirmation answers."""
+    async def _ask_peers(self) -> bool:
+        """Ask peers in turn until one responds and the own state is confirmed recently enough."""
         if self._members is None:
             return False
-        vms = ask_order(self._members.vms(), self._members.own_vm, self._rng, at_most=ASK_AT_MOST)
+        vms = peers_to_ask(
+            self._members.vms(), self._members.own_vm, self._rng, at_most=MAX_PEERS_PER_ROUND
+        )
         for vm in vms:
-            if await self._ask(vm) and not self._left_alone():
+            if await self._fetch_from(vm) and not self._confirmation_overdue():
                 return True
         return False
 
-    async def _ask(self, vm: EntryVm) -> bool:
-        """Fetch from one peer what is missing; :return: whether it answered."""
+    async def _fetch_from(self, vm: EntryVm) -> bool:
+        """Fetch missing entries from one peer; :return: whether it responded."""
         if self._peers is None:
             return False
         asked_at = self._clock.now()
         try:
-            reply = await self._peers.ask(vm, FETCH, FetchRequest(self._state.position))
+            reply = await self._peers.ask(vm, FETCH_TOPIC, FetchRequest(self._state.position))
             if reply.whole:
-                await self._learn_whole(await self._fetch_state(self._peers, vm))
-            await self._learn(reply.entries)
+                await self._replace_state(await self._fetch_state(self._peers, vm))
+            await self._apply_entries(reply.entries)
         except GatewayError as exc:
             self._retries.labels(f"config_ask_{exc.kind.value}").inc()
             return False
-        if reply.age_ms < NEVER_MS:
+        if reply.age_ms < NEVER_CONFIRMED_MS:
             self._freshness.confirm(
                 held=self._state.position, head=reply.position, at=asked_at - reply.age_ms
             )
         return True
 
     async def _fetch_state(self, peers: ports.Peers, vm: EntryVm) -> LogState:
-        head = (first := await peers.ask(vm, STATE, StateRequest(0, 0))).head
+        head = (first := await peers.ask(vm, STATE_TOPIC, StateRequest(0, 0))).head
         parts = [first.part]
         while len(parts) < head.parts:
-            reply = await peers.ask(vm, STATE, StateRequest(head.position, len(parts)))
+            reply = await peers.ask(vm, STATE_TOPIC, StateRequest(head.position, len(parts)))
             if reply.head != head:
                 head, parts = reply.head, []
                 continue
@@ -397,20 +409,20 @@
         state, age_ms = self._state, self.age_ms()
         if not self._loaded or request.after >= state.position:
             return FetchReply(state.position, age_ms)
-        if not self._recent or self._recent[0].position > request.after + 1:
+        if not self._recent_entries or self._recent_entries[0].position > request.after + 1:
             return FetchReply(state.position, age_ms, whole=True)
-        entries = self._held_after(request.after)[:REPLY_ENTRIES]
+        entries = self._recent_after(request.after)[:MAX_REPLY_ENTRIES]
         last = entries[-1].position
-        # A reply that is cut short confirms nothing beyond its own end.
-        return FetchReply(last, age_ms if last == state.position else NEVER_MS, entries)
+        # A truncated reply does not confirm that its last entry is the head.
+        return FetchReply(last, age_ms if last == state.position else NEVER_CONFIRMED_MS, entries)
 
     async def _on_state(self, _: VmId, request: StateRequest) -> StateReply:
-        held = self._snapshot
-        if held is None or request.position != held.head.position:
-            if held is None or held.head.position != self._state.position:
-                held = self._snapshot = encode_snapshot(self._state)
-            return StateReply(held.head, held.parts[0])
-        return StateReply(held.head, held.parts[min(request.part, len(held.parts) - 1)])
+        snapshot = self._encoded_snapshot
+        if snapshot is None or request.position != snapshot.head.position:
+            if snapshot is None or snapshot.head.position != self._state.position:
+                snapshot = self._encoded_snapshot = encode_snapshot(self._state)
+            return StateReply(snapshot.head, snapshot.parts[0])
+        return StateReply(snapshot.head, snapshot.parts[min(request.part, len(snapshot.parts) - 1)])
 
     def _on_note(self, vm: EntryVm, raw: bytes) -> None:
         try:
@@ -418,26 +430,26 @@
         except msgspec.MsgspecError:
             return
         if note.position > self._state.position:
-            self._hint = vm
-            self._hinted.set()
+            self._hinted_vm = vm
+            self._hint_received.set()
 
-    async def _follow_hints(self) -> None:
+    async def _fetch_on_hints(self) -> None:
         while True:
-            await self._hinted.wait()
-            self._hinted = anyio.Event()
-            if self._hint is not None:
-                await self._ask(self._hint)
+            await self._hint_received.wait()
+            self._hint_received = anyio.Event()
+            if self._hinted_vm is not None:
+                await self._fetch_from(self._hinted_vm)
 
-    # Operators' tickets
+    # Tickets submitted by operators
 
-    async def _take_submissions(self) -> None:
+    async def _process_submissions(self) -> None:
         submitter = Submitter(
             log=self._log,
             clock=self._clock,
             rng=self._rng,
             state=lambda: self._state,
             catch_up=self._catch_up,
-            learn=self._learn,
+            apply_entries=self._apply_entries,
         )
         async for submission in self._submissions:
             try:
@@ -450,26 +462,26 @@
                 raise
             submission.reply.set(position)
             if position % self._cfg.config.snapshot_every == 0:
-                self._compact.post(self._state)
+                self._snapshot_requests.post(self._state)
 
     async def _write_snapshots(self) -> None:
-        async for state in self._compact:
+        async for state in self._snapshot_requests:
             try:
                 await self._log.compact(state)
             except GatewayError as exc:
-                # The log only stays longer; the next multiple of the interval tries again.
+                # The log only stays longer; the next multiple of ``snapshot_every`` tries again.
                 self._retries.labels("config_compact").inc()
-                logging.warning("snapshot not written: %s", exc.kind.value)
+                logging.warning("cannot write a snapshot of the ticket log: %s", exc.kind.value)
 
     # Waiting
 
     async def _wait_position(self, position: int, timeout_ms: float) -> None:
         end = self._clock.now() + timeout_ms
         while self._state.position < position and self._clock.now() < end:
-            await self._wait(self._changed, end - self._clock.now())
+            await self._wait(self._position_changed, end - self._clock.now())
 
     async def _wait(self, event: anyio.Event, ms: float) -> None:
-        """Wait for an event, at most this long by our own clock."""
+        """Wait for an event, at most ``ms`` of the service's clock."""
         async with anyio.create_task_group() as tg:
 
             async def wake() -> None:
--- a/src/hickorybeam/tickets/spread.py
+++ b/src/hickorybeam/tickets/spread.py
@@ -1,4 +1,4 @@
-"""Who watches the platform, whom the others ask, and what they say to each other: pure."""
+"""Choice of the VMs that watch the store, and the messages by which VMs exchange tickets (pure)."""
 
 from __future__ import annotations
 
@@ -15,32 +15,32 @@
     import random
 
 __all__ = (
-    "FETCH",
-    "NEVER_MS",
-    "STATE",
-    "WATCHERS",
+    "FETCH_TOPIC",
+    "NEVER_CONFIRMED_MS",
+    "STATE_TOPIC",
+    "WATCHERS_PER_DATA_CENTRE",
     "FetchReply",
     "FetchRequest",
     "Freshness",
     "Note",
     "StateReply",
     "StateRequest",
-    "ask_order",
+    "peers_to_ask",
     "store_watchers",
 )
 
-# Two watchers in a data centre: one may fail, or have a silent watch, unnoticed by the rest.
-WATCHERS = 2
-# The age of what was never confirmed; it fits a JSON integer.
-NEVER_MS = 2**52
+# With two, one may fail or have a watch that delivers nothing without the others losing updates.
+WATCHERS_PER_DATA_CENTRE = 2
+# Age of a state that was never confirmed; it fits a JSON integer.
+NEVER_CONFIRMED_MS = 2**52
 
 
 @dataclass(frozen=True, slots=True)
 class Note:
-    """What rides on every heartbeat: the position in force.
+    """The position in force on the sender, carried by its heartbeats.
 
-    It only tells whom to ask. It confirms nothing, because a heartbeat may be read long after
-    it was sent: a VM that was paused for an hour finds old ones in its receive buffer.
+    It only serves as a hint whom to ask. It confirms nothing, because a heartbeat may be read
+    long after it was sent: a VM that was paused for an hour finds old ones in its receive buffer.
     """
 
     position: int
@@ -48,17 +48,17 @@
 
 @dataclass(frozen=True, slots=True)
 class FetchRequest:
-    """Asks for the entries after a position."""
+    """Requests the log entries after a position."""
 
     after: int
 
 
 @dataclass(frozen=True, slots=True)
 class FetchReply:
-    """The entries, and how old the replier's own confirmation is.
+    """Log entries, the sender's position, and the age of the sender's own confirmation.
 
-    ``whole`` says that the entries asked for are no longer held, so the state itself has to
-    be fetched.
+    ``whole`` is set if the sender no longer holds the requested entries, so that the whole state
+    has to be fetched instead.
     """
 
     position: int
@@ -69,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StateRequest:
-    """Asks for one part of the state at a position; position 0 for the replier's newest."""
+    """Requests one part of the state at a position; position 0 means the latest."""
 
     position: int
     part: int
@@ -77,33 +77,33 @@
 
 @dataclass(frozen=True, slots=True)
 class StateReply:
-    """One part of the state, or of a newer one when that position is no longer held."""
+    """One part of the requested state, or the first of a newer one if that is no longer held."""
 
     head: SnapshotHead
     part: bytes
 
 
-FETCH = Topic("config.fetch", FetchRequest, FetchReply)
-STATE = Topic("config.state", StateRequest, StateReply)
+FETCH_TOPIC = Topic("config.fetch", FetchRequest, FetchReply)
+STATE_TOPIC = Topic("config.state", StateRequest, StateReply)
 
 
 class Freshness:
-    """When this VM last knew that it had missed nothing.
+    """Time of the last confirmation that this VM's state was up to date.
 
-    A confirmation by a peer counts as old as the peer's own: the age travels along, so two
-    VMs that are cut off together can't refresh each other.
+    A confirmation by a peer is dated back by the age of the peer's own, which its reply carries.
+    So two VMs that are isolated together cannot keep each other fresh.
     """
 
     def __init__(self) -> None:
         self._confirmed_at: int | None = None
 
     def confirm(self, *, held: int, head: int, at: int) -> bool:
-        """Note that the log's head was at a position at some time.
+        """Record a reading of the log's head, if this VM's state covers it.
 
-        :param held: the position that this VM has in force.
-        :param head: the position that was the head.
-        :param at: a time at or before that; the start of the call that brought it.
-        :return: whether this VM held all of it.
+        :param held: position in force on this VM.
+        :param head: position of the head that was read.
+        :param at: time no later than the reading, such as the start of the call, in ms.
+        :return: whether this VM's state covers the head.
         """
         if held < head:
             return False
@@ -111,28 +111,32 @@
         return True
 
     def age_ms(self, now: int) -> int:
-        """Return the time since the last confirmation."""
-        return NEVER_MS if self._confirmed_at is None else max(0, now - self._confirmed_at)
+        """Return the time since the last confirmation, ``NEVER_CONFIRMED_MS`` without one."""
+        return (
+            NEVER_CONFIRMED_MS if self._confirmed_at is None else max(0, now - self._confirmed_at)
+        )
 
 
 def store_watchers(vms: tuple[EntryVm, ...], data_centre: str) -> tuple[EntryVm, ...]:
-    """Return the VMs of a data centre that watch the platform for the others.
+    """Return the VMs of a data centre that watch the store on behalf of the others.
 
-    Every VM ranks alike, so VMs that see the same members agree without a message; while
-    they see different ones, a few more watch, which costs calls and nothing else.
+    All VMs use the same order, so those that see the same members agree without a message.
+    While they see different members, a few more VMs watch, which only costs calls.
     """
-    near = [vm for vm in vms if vm.data_centre == data_centre and vm.state is not VmState.LEAVING]
-    return tuple(sorted(near, key=lambda vm: vm.id)[:WATCHERS])
+    local_vms = [
+        vm for vm in vms if vm.data_centre == data_centre and vm.state is not VmState.LEAVING
+    ]
+    return tuple(sorted(local_vms, key=lambda vm: vm.id)[:WATCHERS_PER_DATA_CENTRE])
 
 
-def ask_order(
-    vms: tuple[EntryVm, ...], me: EntryVm, rng: random.Random, *, at_most: int
+def peers_to_ask(
+    vms: tuple[EntryVm, ...], own_vm: EntryVm, rng: random.Random, *, at_most: int
 ) -> tuple[EntryVm, ...]:
-    """Return whom to ask for tickets: watchers nearby, then others nearby, then any."""
-    chosen = frozenset(vm.id for vm in store_watchers(vms, me.data_centre))
+    """Return peers to ask for tickets: local watchers first, then local VMs, then remote ones."""
+    watcher_ids = frozenset(vm.id for vm in store_watchers(vms, own_vm.data_centre))
 
     def rank(vm: EntryVm) -> tuple[bool, bool, float]:
-        return vm.id not in chosen, vm.data_centre != me.data_centre, rng.random()
+        return vm.id not in watcher_ids, vm.data_centre != own_vm.data_centre, rng.random()
 
-    others = [vm for vm in vms if vm.id.name != me.id.name]
+    others = [vm for vm in vms if vm.id.name != own_vm.id.name]
     return tuple(sorted(others, key=rank)[:at_most])
--- a/src/hickorybeam/tickets/submit.py
+++ b/src/hickorybeam/tickets/submit.py
@@ -1,4 +1,4 @@
-"""Accepting one operator's ticket: judge it at the head, then write it by compare-and-swap."""
+"""Acceptance of a ticket: check it at the log's head, then append it by compare-and-swap."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
     Faulty,
     Fresh,
     Stale,
-    judge,
+    check_ticket,
     normalized,
 )
 from hickorybeam.tickets.codec import LogEntry
@@ -28,17 +28,17 @@
 
 __all__ = ("Submitter",)
 
-# Each lost race means that another ticket was accepted; operators rarely race at all.
-ATTEMPTS = 24
-RACE_BACKOFF_MS = 20
+# A lost race means that another ticket was accepted; operators rarely submit concurrently.
+MAX_ATTEMPTS = 24
+MAX_RACE_BACKOFF_MS = 20
 
 
 class Submitter:
-    """Brings tickets into the log, one at a time.
+    """Appends tickets to the log, one at a time.
 
-    :param state: returns what is in force on this VM.
-    :param catch_up: brings this VM to the platform's head.
-    :param learn: puts an entry in force on this VM.
+    :param state: returns the state in force on this VM.
+    :param catch_up: brings the state of this VM up to the head in the platform.
+    :param apply_entries: applies log entries to the state of this VM.
     """
 
     def __init__(
@@ -49,50 +49,51 @@
         rng: random.Random,
         state: Callable[[], LogState],
         catch_up: Callable[[], Awaitable[None]],
-        learn: Callable[[tuple[LogEntry, ...]], Awaitable[None]],
+        apply_entries: Callable[[tuple[LogEntry, ...]], Awaitable[None]],
     ) -> None:
         self._log = log
         self._clock = clock
         self._rng = rng
         self._state = state
         self._catch_up = catch_up
-        self._learn = learn
+        self._apply_entries = apply_entries
 
     async def accept(self, ticket: ChangeTicket) -> int:
         """Return the ticket's log position, or raise a ticket error.
 
-        When the answer of the write is lost, the head is read back. If the ticket is in the
-        log, its number is used with the same content: accepted. If not, it is written again,
-        which is safe: both writes compare the same head, so one of them at most takes effect.
+        When the response to the write is lost, the head is read back. If the ticket is in the
+        log, its number is used with the same content, so it counts as accepted. Otherwise it is
+        written again. That is safe: both writes compare the same head, so at most one of them
+        takes effect.
         """
         ticket = normalized(ticket)
-        unknown = False
-        for attempt in range(ATTEMPTS):
+        outcome_unknown = False
+        for attempt in range(MAX_ATTEMPTS):
             if attempt:
-                await self._clock.sleep(self._rng.uniform(0, RACE_BACKOFF_MS))
+                await self._clock.sleep(self._rng.uniform(0, MAX_RACE_BACKOFF_MS))
             try:
-                position = await self._try(ticket)
+                position = await self._try_append(ticket)
             except GatewayError as exc:
                 if exc.kind is ErrorKind.PLATFORM_UNKNOWN:
-                    unknown = True
+                    outcome_unknown = True
                     continue
-                if unknown and exc.kind is ErrorKind.PLATFORM_OUT:
+                if outcome_unknown and exc.kind is ErrorKind.PLATFORM_OUT:
                     raise GatewayError(ErrorKind.PLATFORM_UNKNOWN, "send it again") from exc
                 raise
             if position is not None:
                 return position
-        kind = ErrorKind.PLATFORM_UNKNOWN if unknown else ErrorKind.PLATFORM_OUT
-        raise GatewayError(kind, f"not settled in {ATTEMPTS} attempts")
+        kind = ErrorKind.PLATFORM_UNKNOWN if outcome_unknown else ErrorKind.PLATFORM_OUT
+        raise GatewayError(kind, f"not settled in {MAX_ATTEMPTS} attempts")
 
-    async def _try(self, ticket: ChangeTicket) -> int | None:
-        """Judge and write once; :return: ``None`` when another ticket came first."""
+    async def _try_append(self, ticket: ChangeTicket) -> int | None:
+        """Check and append once; :return: position, or ``None`` if another ticket came first."""
         read = await self._log.head()
         if self._state().position < read.head.position:
             await self._catch_up()
         state = self._state()
         if state.position < read.head.position:
             raise GatewayError(ErrorKind.PLATFORM_OUT, "the log could not be read to its head")
-        verdict = judge(state, ticket)
+        verdict = check_ticket(state, ticket)
         if isinstance(verdict, Accepted):
             return verdict.position
         if state.position > read.head.position:
@@ -102,12 +103,12 @@
         entry = LogEntry(state.position + 1, ticket)
         if not await self._log.append(read, entry):
             return None
-        await self._learn((entry,))
+        await self._apply_entries((entry,))
         return entry.position
 
 
 def refusal(verdict: Verdict, ticket: ChangeTicket) -> GatewayError:
-    """Return the error that tells an operator why a ticket was refused."""
+    """Return the error for a verdict that refuses a ticket."""
     match verdict:
         case Conflict(position):
             text = f"number {ticket.number} was accepted with other content at {position}"
--- a/tests/steps/tickets/checks_steps.py
+++ b/tests/steps/tickets/checks_steps.py
@@ -19,7 +19,7 @@
     ServiceRoute,
 )
 from hickorybeam.store import MAX_VALUE_BYTES
-from hickorybeam.tickets import LogState, apply, judge
+from hickorybeam.tickets import LogState, apply, check_ticket
 from hickorybeam.tickets.apply import Faulty, Fresh
 from hickorybeam.tickets.codec import decode_snapshot, encode_snapshot
 
@@ -53,12 +53,12 @@
         models=(MODEL,),
         backends=(ENGINE,),
     )
-    assert judge(LogState(), ticket) == Fresh()
+    assert check_ticket(LogState(), ticket) == Fresh()
     context.state = apply(LogState(), ticket)
 
 
 def route_that(field, value, last):
-    """Return a service and a route to it with one field set, or two alike."""
+    """Return a service and a route to it with one field set, or two equal routes."""
     way = ServiceRoute(name="way", host="shop.example", prefix="/a/", service="desk")
     way = replace(way, **{"prefix" if field == "path" else field: value})
     found = {"services": (PlainService(name="desk", regions=("here",)),), "routes": (way,)}
@@ -129,18 +129,18 @@
 @when("a ticket is checked that {change}")
 def step_check(context, change):
     ticket = ChangeTicket(**{"number": 2, **ticket_that(change)})
-    verdict = judge(context.state, ticket)
+    verdict = check_ticket(context.state, ticket)
     context.faults = verdict.faults if isinstance(verdict, Faulty) else ()
 
 
-@then('the checks name exactly "{text}"')
+@then('the faults reported are exactly "{text}"')
 def step_exactly(context, text):
     found = "; ".join(re.sub(r"(')([ab]{8})[ab]{56}(')", r"\1\2\3", f) for f in context.faults)
     found = found.replace("'sk-secret'", "'sk-secre'")
     assert found == text, found
 
 
-@then("the checks name {count:d} faults")
+@then("{count:d} faults are reported")
 def step_count(context, count):
     assert len(context.faults) == count, context.faults
 
@@ -168,7 +168,7 @@
     assert decode_snapshot(encode_snapshot(context.state)) == context.state
 
 
-@then("the ticket log machine finds no fault in {runs:d} runs of {steps:d} steps")
+@then("the state machine test of the ticket log passes {runs:d} runs of {steps:d} steps")
 def step_machine(context, runs, steps):
     from steps.tickets.log_machine import run_log_machine
 
--- a/tests/steps/tickets/config_steps.py
+++ b/tests/steps/tickets/config_steps.py
@@ -44,8 +44,8 @@
     assert context.outcome == position, context.outcome
 
 
-@then('the ticket ends with "{outcome}" naming ""')
-@then('the ticket ends with "{outcome}" naming "{text}"')
+@then('the ticket results in "{outcome}" mentioning ""')
+@then('the ticket results in "{outcome}" mentioning "{text}"')
 def step_ends(context, outcome, text=""):
     if isinstance(context.outcome, int):
         assert outcome == f"position {context.outcome}", context.outcome
@@ -76,10 +76,10 @@
     context.call(context.fleet.clock.advance, ms)
 
 
-@then("the config positions on every VM only grew")
-def step_grew(context):
+@then("the config positions on every VM never decreased")
+def step_never_decreased(context):
     for node in context.fleet.nodes.values():
-        positions = [state.position for state in node.seen]
+        positions = [state.position for state in node.observed]
         assert positions == sorted(positions), positions
 
 
@@ -87,7 +87,7 @@
 def step_rates_seen(context, name, vm, rates):
     seen = [
         state.accounts[name].rate
-        for state in context.fleet.nodes[vm].seen
+        for state in context.fleet.nodes[vm].observed
         if name in state.accounts
     ]
     assert [f"{rate:g}" for rate in seen] == rates.split(), seen
@@ -100,29 +100,31 @@
     assert context.fleet.stand_in.open_watches == count, context.fleet.stand_in.open_watches
 
 
-@when("{count:d} tickets on accounts of their own are submitted at once through all VMs")
-def step_race(context, count):
+@when("{count:d} tickets on different accounts are submitted at once through all VMs")
+def step_submit_concurrently(context, count):
     fleet = context.fleet
     nodes = list(fleet.nodes.values())
 
-    async def race():
+    async def submit_all():
         results = []
 
-        async def one(number):
+        async def submit_one(number):
             ticket = ChangeTicket(number=number, accounts=(account(f"acc-{number}", number),))
             results.append(await nodes[number % len(nodes)].config.submit(ticket))
 
         async with anyio.create_task_group() as tg:
             for number in range(1, count + 1):
-                tg.start_soon(one, number)
+                tg.start_soon(submit_one, number)
         return results
 
-    context.raced = context.call(fleet.finish, race)
+    context.positions = context.call(fleet.finish, submit_all)
 
 
-@then("every raced ticket is accepted at a position of its own")
-def step_raced(context):
-    assert sorted(context.raced) == list(range(1, len(context.raced) + 1)), context.raced
+@then("each of these tickets is accepted at a different position")
+def step_different_positions(context):
+    assert sorted(context.positions) == list(range(1, len(context.positions) + 1)), (
+        context.positions
+    )
 
 
 @then("every VM holds the same objects at position {position:d}")
@@ -168,51 +170,51 @@
 
 
 @when(
-    'the platform goes out right after VM "{vm}" writes ticket {number:d} with account "{name}"'
-    " at rate {rate:g}"
+    'the platform becomes unavailable right after VM "{vm}" writes ticket {number:d} with account'
+    ' "{name}" at rate {rate:g}'
 )
-def step_out_after(context, vm, number, name, rate):
+def step_unavailable_after_write(context, vm, number, name, rate):
     stand_in = context.fleet.stand_in
     stand_in.faults.lose_answers = 1
     stand_in.faults.out_after_lost = True
     step_submit(context, vm, number, name, rate)
 
 
-@when("the platform is out")
-def step_out(context):
+@when("the config platform is unavailable")
+def step_unavailable(context):
     context.call(context.fleet.stand_in.faults.set_out, True)
 
 
-@when("the platform is back")
-def step_back(context):
+@when("the config platform is available again")
+def step_available(context):
     context.call(context.fleet.stand_in.faults.set_out, False)
 
 
-@when('the platform is out for VMs "{names}"')
-def step_out_for(context, names):
+@when('the platform is unavailable to VMs "{names}"')
+def step_unavailable_to(context, names):
     for name in names.split():
         context.call(context.fleet.nodes[name].platform.faults.set_out, True)
 
 
-def cut(context, names, island):
+def set_partition(context, names, partition):
     for name in names:
-        context.fleet.network.islands[name] = island
-        context.call(context.fleet.nodes[name].platform.faults.set_out, bool(island))
+        context.fleet.network.partitions[name] = partition
+        context.call(context.fleet.nodes[name].platform.faults.set_out, bool(partition))
 
 
-@when('VM "{vm}" is cut off from all')
-def step_cut(context, vm):
-    cut(context, [vm], "alone")
+@when('VM "{vm}" is isolated from all')
+def step_isolate(context, vm):
+    set_partition(context, [vm], "alone")
 
 
-@when('VMs "{names}" are cut off from all but each other')
-def step_cut_together(context, names):
-    cut(context, names.split(), "together")
+@when('VMs "{names}" are isolated from all but each other')
+def step_isolate_together(context, names):
+    set_partition(context, names.split(), "together")
 
 
 @when('VM "{vm}" is connected again')
 def step_connect(context, vm):
-    cut(context, [vm], "")
+    set_partition(context, [vm], "")
 
 
 @then('the age on VM "{vm}" is at least {ms:d} ms')
@@ -287,13 +289,13 @@
     submit(context, vm, context.sent[1])
 
 
-@when("the platform history is compacted under the config fleet")
+@when("the platform of the config fleet compacts its history")
 def step_compact(context):
     context.call(context.fleet.stand_in.store.compact)
 
 
-@when("the watches of all VMs go silent")
-def step_silence(context):
+@when("the open watches of all VMs stop delivering")
+def step_stop_watches(context):
     context.call(context.fleet.stand_in.faults.silence_watches)
 
 
@@ -311,8 +313,8 @@
     assert exc.kind.value == "config_behind", exc
 
 
-@when("the platform forgets everything")
-def step_forget(context):
+@when("the platform loses all data")
+def step_lose_data(context):
     store = context.fleet.stand_in.store
     keys = [item.key for item in store.read_prefix("").items]
     context.call(store.txn, (), tuple(Delete(key) for key in keys))
--- a/tests/steps/tickets/fakes.py
+++ b/tests/steps/tickets/fakes.py
@@ -1,4 +1,4 @@
-"""Members and peers within one process, with cuts; and a fleet of config services."""
+"""Members and peers in one process with network partitions, and a fleet of config services."""
 
 from __future__ import annotations
 
@@ -17,25 +17,25 @@
 from hickorybeam.telemetry import Counters
 from hickorybeam.tickets import ConfigService
 
-HEARTBEAT_MS = 500
+HEARTBEAT_INTERVAL_MS = 500
 
 
 async def settle():
-    """Wait until every other task waits for something.
+    """Wait until every other task is blocked.
 
-    anyio's own function sleeps 0.1 s before it looks again, which a fleet can't afford.
+    ``anyio.wait_all_tasks_blocked`` sleeps 0.1 s between its checks, too slow for a fleet.
     """
-    me = asyncio.current_task()
+    current = asyncio.current_task()
     while any(
         task._fut_waiter is None or task._fut_waiter.done()
         for task in asyncio.all_tasks()
-        if task is not me
+        if task is not current
     ):
         await anyio.lowlevel.checkpoint()
 
 
 class FleetClock(ManualClock):
-    """A clock turned by hand that lets a whole fleet settle at each wake-up."""
+    """A manual clock that lets all tasks of a fleet settle at each wake-up."""
 
     async def advance(self, ms):
         end = self._now + ms
@@ -49,28 +49,28 @@
 
 
 class Network:
-    """Which VMs reach which; heartbeats and requests pass only between those."""
+    """The VMs by name; heartbeats and requests pass only between VMs of the same partition."""
 
     def __init__(self):
         self.vms, self.members, self.peers = {}, {}, {}
-        self.islands = {}
+        self.partitions = {}
 
-    def reach(self, one, other):
-        return self.islands.get(one, "") == self.islands.get(other, "")
+    def connected(self, one, other):
+        return self.partitions.get(one, "") == self.partitions.get(other, "")
 
 
 class FakeMembers(Service):
     name = "members"
 
-    def __init__(self, network, me, clock):
-        self.network, self._me, self.clock = network, me, clock
+    def __init__(self, network, own_vm, clock):
+        self.network, self._own_vm, self.clock = network, own_vm, clock
         self.notes, self.listeners = {}, {}
-        network.vms[me.id.name] = me
-        network.members[me.id.name] = self
+        network.vms[own_vm.id.name] = own_vm
+        network.members[own_vm.id.name] = self
 
     @property
     def own_vm(self):
-        return self._me
+        return self._own_vm
 
     def vms(self):
         return tuple(self.network.vms.values())
@@ -99,24 +99,24 @@
     async def main(self, started):
         started()
         while True:
-            await self.clock.sleep(HEARTBEAT_MS)
-            self.beat()
+            await self.clock.sleep(HEARTBEAT_INTERVAL_MS)
+            self.send_heartbeats()
 
-    def beat(self):
+    def send_heartbeats(self):
         for name, other in self.network.members.items():
-            near = other.own_vm.data_centre == self._me.data_centre
-            if other is not self and near and self.network.reach(self._me.id.name, name):
+            local = other.own_vm.data_centre == self._own_vm.data_centre
+            if other is not self and local and self.network.connected(self._own_vm.id.name, name):
                 for note_name, note in self.notes.items():
                     if note_name in other.listeners:
-                        other.listeners[note_name](self._me, note)
+                        other.listeners[note_name](self._own_vm, note)
 
 
 class FakePeers(Service):
     name = "peers"
 
-    def __init__(self, network, me):
-        self.network, self.me, self.handlers = network, me, {}
-        network.peers[me.id.name] = self
+    def __init__(self, network, own_vm):
+        self.network, self.own_vm, self.handlers = network, own_vm, {}
+        network.peers[own_vm.id.name] = self
 
     def forward(self, call, vm):
         raise NotImplementedError
@@ -126,9 +126,9 @@
 
     async def ask(self, vm, topic, request, *, timeout_ms=None):
         await anyio.lowlevel.checkpoint()
-        if not self.network.reach(self.me.id.name, vm.id.name):
+        if not self.network.connected(self.own_vm.id.name, vm.id.name):
             raise GatewayError(ErrorKind.PEER_UNREACHABLE)
-        return await self.network.peers[vm.id.name].handlers[topic.name](self.me.id, request)
+        return await self.network.peers[vm.id.name].handlers[topic.name](self.own_vm.id, request)
 
 
 class Node:
@@ -160,13 +160,13 @@
             FakePeers(fleet.network, self.vm),
         ):
             self.kernel.add(service)
-        self.seen = []
+        self.observed = []
 
     async def observe(self):
-        """Record every state that a reader could see."""
+        """Record each state that a waiting reader gets."""
         state = self.config.current()
         while True:
-            self.seen.append(state)
+            self.observed.append(state)
             state = await self.config.wait_past(state.position)
 
 
@@ -192,7 +192,7 @@
         await settle()
 
     async def finish(self, fn, *args):
-        """Run a call to its end, moving time on as it needs; return its outcome."""
+        """Run a call to its end, advancing the clock meanwhile; return its result or error."""
         outcome = []
 
         async def run():
--- a/tests/steps/tickets/log_machine.py
+++ b/tests/steps/tickets/log_machine.py
@@ -1,4 +1,4 @@
-"""A state machine over the pure log, against an oracle that keeps only a list of tickets."""
+"""State machine test of the log's pure functions against an oracle: the list of tickets."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule, run_state_machine_as_test
 
 from hickorybeam.model import ChangeTicket, ClientAccount, ObjectRef
-from hickorybeam.tickets import LogState, apply, judge
+from hickorybeam.tickets import LogState, apply, check_ticket
 from hickorybeam.tickets.apply import Accepted, BelowFloor, Conflict, Faulty, Fresh, Stale
 from hickorybeam.tickets.codec import decode_snapshot, encode_snapshot
 
-KEEP = 3
+REMEMBERED = 3
 NAMES = st.sampled_from("abc")
 
 
@@ -21,13 +21,13 @@
     def __init__(self):
         super().__init__()
         self.accepted = []  # the oracle: tickets in the order of acceptance
-        self.sent = []
+        self.submitted = []
         self.vms = [LogState(), LogState(), LogState()]
 
     # The oracle
 
     def oracle_value(self, name, position):
-        """The highest number wins for each object; None is absent or deleted."""
+        """Return the highest number that set an object, and its value or ``None`` if deleted."""
         touching = [
             ticket
             for ticket in self.accepted[:position]
@@ -54,16 +54,16 @@
 
     def remembered(self, number):
         numbers = [ticket.number for ticket in self.accepted]
-        return number in sorted(numbers)[-KEEP:] or number in numbers[-KEEP:]
+        return number in sorted(numbers)[-REMEMBERED:] or number in numbers[-REMEMBERED:]
 
-    # What happens
+    # Rules
 
     def submit(self, ticket):
         head = self.vms[0]
-        verdict, expected = judge(head, ticket), self.expected_verdict(ticket)
+        verdict, expected = check_ticket(head, ticket), self.expected_verdict(ticket)
         if isinstance(verdict, BelowFloor):
-            assert not self.remembered(ticket.number), "a number forgotten too early"
-            assert len(self.accepted) > 2 * KEEP
+            assert not self.remembered(ticket.number), "number dropped too early"
+            assert len(self.accepted) > 2 * REMEMBERED
             return
         if isinstance(expected, type):
             assert isinstance(verdict, expected), (verdict, expected)
@@ -76,8 +76,8 @@
     @rule(number=st.integers(1, 40), name=NAMES, rate=st.sampled_from([1.0, 2.0]))
     def submit_account(self, number, name, rate):
         account = ClientAccount(name=name, rate=rate, burst=1.0)
-        self.sent.append(ChangeTicket(number=number, accounts=(account,)))
-        self.submit(self.sent[-1])
+        self.submitted.append(ChangeTicket(number=number, accounts=(account,)))
+        self.submit(self.submitted[-1])
 
     @rule(ahead=st.integers(1, 3), name=NAMES)
     def submit_next_number(self, ahead, name):
@@ -88,13 +88,13 @@
     def submit_deletion(self, number, one, other):
         accounts = () if one == other else (ClientAccount(name=other, rate=1.0, burst=1.0),)
         deleted = (ObjectRef("accounts", one),)
-        self.sent.append(ChangeTicket(number=number, accounts=accounts, deleted=deleted))
-        self.submit(self.sent[-1])
+        self.submitted.append(ChangeTicket(number=number, accounts=accounts, deleted=deleted))
+        self.submit(self.submitted[-1])
 
     @rule(which=st.integers(0, 1000))
     def submit_again(self, which):
-        if self.sent:
-            self.submit(self.sent[which % len(self.sent)])
+        if self.submitted:
+            self.submit(self.submitted[which % len(self.submitted)])
 
     @rule(vm=st.integers(1, 2), count=st.integers(1, 5))
     def replay(self, vm, count):
@@ -121,16 +121,16 @@
     @invariant()
     def memory_is_bounded(self):
         for state in self.vms:
-            assert len(state.used) <= 3 * KEEP
+            assert len(state.used) <= 3 * REMEMBERED
 
 
 def run_log_machine(runs, steps):
-    chosen = settings(
+    profile = settings(
         max_examples=runs,
         stateful_step_count=steps,
         derandomize=True,
         deadline=None,
         database=None,
     )
-    with patch("hickorybeam.tickets.apply.KEEP_NUMBERS", KEEP):
-        run_state_machine_as_test(LogMachine, settings=chosen)
+    with patch("hickorybeam.tickets.apply.REMEMBERED_NUMBERS", REMEMBERED):
+        run_state_machine_as_test(LogMachine, settings=profile)
--- a/tests/tickets/checks.feature
+++ b/tests/tickets/checks.feature
@@ -1,9 +1,9 @@
-Feature: a bad change ticket is refused with every fault named
+Feature: an invalid change ticket is refused with all its faults
 
-  Scenario Outline: one fault and its object are named
+  Scenario Outline: a single fault is reported with its object
     Given a configuration with region "here" with data centre "h1", rule "eu" for it, account "shop" under the rule, a key of "shop", model "base" and engine "e1"
     When a ticket is checked that <change>
-    Then the checks name exactly "<fault>"
+    Then the faults reported are exactly "<fault>"
 
     Examples:
       | change                                   | fault |
@@ -35,23 +35,23 @@
       | adds a model of 910000 bytes             | the ticket has 910236 bytes, at most 900000 are allowed |
       | sets account "shop" twice                | accounts 'shop': stands 2 times in the ticket |
 
-  Scenario: all faults of one ticket are named at once
+  Scenario: all faults of one ticket are reported at once
     Given a configuration with region "here" with data centre "h1", rule "eu" for it, account "shop" under the rule, a key of "shop", model "base" and engine "e1"
     When a ticket is checked that has three faulty objects
-    Then the checks name 3 faults
+    Then 3 faults are reported
 
-  Scenario: a region is added and removed by one ticket, with all that refers to it
+  Scenario: one ticket replaces a region and everything that refers to it
     Given a configuration with region "here" with data centre "h1", rule "eu" for it, account "shop" under the rule, a key of "shop", model "base" and engine "e1"
     When a ticket is checked that moves everything from region "here" to region "there"
-    Then the checks name 0 faults
+    Then 0 faults are reported
 
-  Scenario: tickets in any order, sent again, late, forgotten and compacted
-    # Operators submit numbers in any order; answers are lost, so tickets come again, with the
-    # same or other content. VMs replay the log with a lag, and some start from a snapshot. An
-    # oracle that only keeps the list of accepted tickets says what each VM must show.
-    Then the ticket log machine finds no fault in 120 runs of 60 steps
+  Scenario: tickets in any order, repeated, late, dropped and compacted
+    # Operators submit numbers in any order. Responses are lost, so tickets are sent again with
+    # the same or other content. VMs replay the log with a lag, and some start from a snapshot.
+    # An oracle that keeps only the list of accepted tickets gives the expected state of each VM.
+    Then the state machine test of the ticket log passes 120 runs of 60 steps
 
-  Scenario: parts of a snapshot stay below the platform's limit and give the state back
+  Scenario: parts of a snapshot stay below the platform's limit and decode to the same state
     Given a log of 3000 tickets of 1000 bytes
     Then its snapshot has more than 3 parts below 1000000 bytes
     And decoding its snapshot gives the same state
