--- a/src/hickorybeam/gateway/feed.py
+++ b/src/hickorybeam/gateway/feed.py
@@ -31,7 +31,7 @@
 )
 from hickorybeam.ports import FEED, PLATFORM
 from hickorybeam.sockets import split_address
-from hickorybeam.store import KeyValue, PacedPlatform, ReadResult, WatchBatch
+from hickorybeam.store import KeyValue, PollingPlatform, ReadResult, WatchBatch
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -100,7 +100,7 @@
 
     def bind(self, kernel: Kernel) -> None:
         """Look up the store."""
-        self._store = kernel.find(PLATFORM, PacedPlatform)  # type: ignore[type-abstract]
+        self._store = kernel.find(PLATFORM, PollingPlatform)  # type: ignore[type-abstract]
 
     def reload(self, cfg: GatewaySettings) -> None:
         """Use the new seeds."""
--- a/src/hickorybeam/gateway/fleet.py
+++ b/src/hickorybeam/gateway/fleet.py
@@ -47,7 +47,7 @@
 from hickorybeam.policy.watchers import count_watchers, should_watch
 from hickorybeam.ports import FEED, FLEET, PLATFORM
 from hickorybeam.sockets import bind_socket
-from hickorybeam.store import PacedPlatform, WatchBatch
+from hickorybeam.store import PollingPlatform, WatchBatch
 
 if TYPE_CHECKING:
     import socket
@@ -126,7 +126,7 @@
 
     def bind(self, kernel: Kernel) -> None:
         """Look up the store and the feed."""
-        self._store = kernel.find(PLATFORM, PacedPlatform)  # type: ignore[type-abstract]
+        self._store = kernel.find(PLATFORM, PollingPlatform)  # type: ignore[type-abstract]
         self._feed = kernel.find(FEED, FeedService)
         self._feed.on_batch(self._apply_batch)
         self._feed.on_config(self._apply_config)
--- a/src/hickorybeam/store/port.py
+++ b/src/hickorybeam/store/port.py
@@ -20,7 +20,7 @@
     "Compare",
     "Delete",
     "KeyValue",
-    "PacedPlatform",
+    "PollingPlatform",
     "Platform",
     "Put",
     "ReadResult",
@@ -131,7 +131,7 @@
 
 
 @runtime_checkable
-class PacedPlatform(Platform, Protocol):
+class PollingPlatform(Platform, Protocol):
     """A platform whose watches are made of calls, which are counted.
 
     ``watch_poll_timeout_ms`` is how long one call may wait, ``watch_pause_ms`` the pause after one
