--- a/src/hickorybeam/kernel/__init__.py
+++ b/src/hickorybeam/kernel/__init__.py
@@ -1,4 +1,4 @@
-"""Micro-kernel: services that find each other by name, in supervised tasks."""
+"""Runs named services in supervised tasks and lets them find each other by name."""
 
 from __future__ import annotations
 
--- a/src/hickorybeam/kernel/kernel.py
+++ b/src/hickorybeam/kernel/kernel.py
@@ -1,4 +1,4 @@
-"""The kernel: a table of named services, started in order and supervised."""
+"""The kernel: starts named services in dependency order, supervises them and stops them."""
 
 from __future__ import annotations
 
@@ -18,21 +18,22 @@
 
 T = TypeVar("T")
 
-# A crashed service starts again after this pause, doubled up to the longest. A fault that
-# repeats at once would otherwise take the whole core from the services that still work.
-FIRST_RESTART_MS = 50
-LONGEST_RESTART_MS = 5_000
+# The pause before a crashed service is restarted doubles from MIN to MAX with each crash. Without
+# it, a service that crashes at once would take the whole core from the services that still work.
+MIN_RESTART_PAUSE_MS = 50
+MAX_RESTART_PAUSE_MS = 5_000
+# A service that ran for this long is restarted after MIN_RESTART_PAUSE_MS again.
 STABLE_AFTER_MS = 10_000
-# Above the longest stream that the default deadline and engine limits let run.
-DRAIN_LIMIT_MS = 300_000
+# Longer than any stream that the default deadline and the engine limits allow.
+DEFAULT_DRAIN_LIMIT_MS = 300_000
 
 
 class KernelError(Exception):
-    """A service is missing, doubled, of the wrong type, or in a circle of needs."""
+    """A service is missing, registered twice, of the wrong type, or in a dependency cycle."""
 
 
 class Started:
-    """Handed to a service's ``main``; called once when the service is ready for neighbours."""
+    """Signals that a service is ready; its ``main`` calls it once other services may use it."""
 
     def __init__(self) -> None:
         self.event = anyio.Event()
@@ -43,35 +44,35 @@
 
 
 class Service:
-    """Base class of everything that the kernel starts.
+    """Base class of all services that the kernel runs.
 
-    ``name`` is how neighbours find it; ``needs`` are the names that start before it and stop
-    after it.
+    ``name`` is what other services look it up by. ``needs`` names the services that it depends
+    on: they start before it and stop after it.
     """
 
     name: ClassVar[str]
     needs: ClassVar[tuple[str, ...]] = ()
 
     def bind(self, kernel: Kernel) -> None:
-        """Look up neighbours; called once for every service before any starts."""
+        """Look up other services; called once for each service before any of them starts."""
 
     async def main(self, started: Started) -> None:
-        """Serve until cancelled; call ``started()`` when ready."""
+        """Run the service until cancelled; call ``started()`` when it is ready."""
         started()
         await anyio.sleep_forever()
 
     async def drain(self) -> None:
-        """Finish work in flight; called in stop order before the service is cancelled."""
+        """Finish work in progress; called in stop order, before any service is cancelled."""
 
 
 class Kernel:
-    """Holds the services of one process.
+    """Holds, starts, supervises and stops the services of one process.
 
-    :param clock: the time source every service shares.
-    :param drain_limit_ms: how long one service may take to finish its work at the end.
+    :param clock: the time source that all services share.
+    :param drain_limit_ms: maximum time that each service has for its ``drain``.
     """
 
-    def __init__(self, clock: Clock, *, drain_limit_ms: int = DRAIN_LIMIT_MS) -> None:
+    def __init__(self, clock: Clock, *, drain_limit_ms: int = DEFAULT_DRAIN_LIMIT_MS) -> None:
         self.clock = clock
         self._drain_limit_ms = drain_limit_ms
         self.restarts: dict[str, int] = {}
@@ -87,7 +88,8 @@
     def find(self, name: str, kind: type[T]) -> T:
         """Return the service of this name.
 
-        :param kind: class or runtime-checkable protocol that the caller relies on.
+        :param kind: class or runtime-checkable protocol that the service must be an instance of.
+        :raises KernelError: if there is no such service, or it is not a ``kind``.
         """
         service = self._services.get(name)
         if service is None:
@@ -97,7 +99,7 @@
         return service
 
     def has(self, name: str) -> bool:
-        """Whether a service of this name is registered."""
+        """Return whether a service of this name is registered."""
         return name in self._services
 
     def services(self) -> tuple[Service, ...]:
@@ -105,22 +107,25 @@
         return tuple(self._services.values())
 
     def stop(self) -> None:
-        """Ask ``run`` to drain and return."""
+        """Make ``run`` drain and stop all services, then return."""
         self._stop.set()
 
     async def run(self, *, ready: Callable[[], None] | None = None) -> None:
-        """Start every service, wait for ``stop``, then drain and stop in reverse order."""
+        """Start all services, wait for ``stop``, then drain and stop them in reverse order.
+
+        :param ready: called once all services have started.
+        """
         order = self._start_order()
         for service in order:
             service.bind(self)
         scopes: dict[str, anyio.CancelScope] = {}
         ended: dict[str, anyio.Event] = {}
-        async with anyio.create_task_group() as tg:
+        async with anyio.create_task_group() as task_group:
             for service in order:
                 started = Started()
                 scopes[service.name] = anyio.CancelScope()
                 ended[service.name] = anyio.Event()
-                tg.start_soon(
+                task_group.start_soon(
                     self._supervise, service, started, scopes[service.name], ended[service.name]
                 )
                 await started.event.wait()
@@ -133,59 +138,64 @@
                 await ended[service.name].wait()
 
     async def _drain(self, order: list[Service]) -> None:
-        """Let every service finish; a peer or caller that never ends cannot keep the process.
+        """Drain the services in reverse start order, each for the drain limit at most.
 
-        Without the limit one stalled stream would leave a VM half shut down for good: it has
-        left the directory and still holds its leases. Each service has its own limits for what
-        it waits for; this one is for what they overlook.
+        Without the limit, a peer or caller whose stream never ends would leave a VM half shut
+        down for good: it has left the directory but still holds its leases. Services have limits
+        of their own for what they wait for; this one covers what they miss.
         """
         for service in reversed(order):
             with anyio.move_on_after(self._drain_limit_ms / MS_PER_SECOND) as scope:
                 await service.drain()
             if scope.cancelled_caught:
-                logging.error("service %s did not finish in time", service.name)
+                logging.error("service %s was not drained within the limit", service.name)
 
     async def _supervise(
         self, service: Service, started: Started, scope: anyio.CancelScope, ended: anyio.Event
     ) -> None:
-        pause = FIRST_RESTART_MS
+        """Run a service and restart it when it ends or crashes, until its scope is cancelled.
+
+        A service that crashes before it was ready is not restarted: its error ends ``run``.
+        """
+        restart_pause_ms = MIN_RESTART_PAUSE_MS
         try:
             with scope:
                 while True:
-                    begun = self.clock.now()
+                    run_began_ms = self.clock.now()
                     try:
                         await service.main(started)
                     except Exception as exc:
                         if not started.event.is_set():
                             raise
                         logging.exception("service %s crashed: %s", service.name, exc)
-                    if self.clock.now() - begun >= STABLE_AFTER_MS:
-                        pause = FIRST_RESTART_MS
+                    if self.clock.now() - run_began_ms >= STABLE_AFTER_MS:
+                        restart_pause_ms = MIN_RESTART_PAUSE_MS
                     self.restarts[service.name] = self.restarts.get(service.name, 0) + 1
-                    await self.clock.sleep(pause)
-                    pause = min(LONGEST_RESTART_MS, pause * 2)
+                    await self.clock.sleep(restart_pause_ms)
+                    restart_pause_ms = min(MAX_RESTART_PAUSE_MS, restart_pause_ms * 2)
         finally:
             ended.set()
 
     def _start_order(self) -> list[Service]:
+        """Return the services, each after those that it depends on."""
         order: list[Service] = []
-        placed: set[str] = set()
-        trail: list[str] = []
+        ordered: set[str] = set()
+        path: list[str] = []
 
-        def place(name: str, wanted_by: str) -> None:
-            if name in placed:
+        def visit(name: str, required_by: str) -> None:
+            if name in ordered:
                 return
-            if name in trail:
-                raise KernelError(f"services need each other in a circle: {[*trail, name]}")
+            if name in path:
+                raise KernelError(f"services depend on each other in a circle: {[*path, name]}")
             if name not in self._services:
-                raise KernelError(f"{wanted_by!r} needs {name!r}, which is not registered")
-            trail.append(name)
-            for need in self._services[name].needs:
-                place(need, name)
-            trail.pop()
-            placed.add(name)
+                raise KernelError(f"{required_by!r} needs {name!r}, which is not registered")
+            path.append(name)
+            for dependency in self._services[name].needs:
+                visit(dependency, name)
+            path.pop()
+            ordered.add(name)
             order.append(self._services[name])
 
         for name in self._services:
-            place(name, "kernel")
+            visit(name, "kernel")
         return order
--- a/src/hickorybeam/kernel/mailbox.py
+++ b/src/hickorybeam/kernel/mailbox.py
@@ -1,4 +1,4 @@
-"""Messages between tasks: a bounded mailbox and a reply slot."""
+"""Communication between tasks: a mailbox of messages and a reply to one of them."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Reply(Generic[T]):
-    """A slot that the owner of some state fills once and one asker waits for."""
+    """A result that one task sets once and another task waits for."""
 
     __slots__ = ("_event", "_exc", "_value")
 
@@ -26,24 +26,24 @@
         self._exc: BaseException | None = None
 
     def set(self, value: T) -> None:
-        """Fill the slot; later calls are ignored."""
+        """Set the value; ignored if a value or an error is set already."""
         if not self._event.is_set():
             self._value = value
             self._event.set()
 
     def fail(self, exc: BaseException) -> None:
-        """Fill the slot with an error that the asker will see raised."""
+        """Set an error, which ``wait`` raises; ignored if a value or an error is set already."""
         if not self._event.is_set():
             self._exc = exc
             self._event.set()
 
     @property
     def done(self) -> bool:
-        """Whether the slot has been filled."""
+        """Whether a value or an error has been set."""
         return self._event.is_set()
 
     async def wait(self) -> T:
-        """Wait for the value, or raise the error."""
+        """Wait for the result: return the value or raise the error."""
         await self._event.wait()
         if self._exc is not None:
             raise self._exc
@@ -51,10 +51,10 @@
 
 
 class Mailbox(Generic[T]):
-    """The queue of messages to one task.
+    """A queue of messages to one task.
 
-    :param size: how many messages may wait; ``None`` for no bound, which fits only senders
-        that are bounded themselves.
+    :param size: maximum number of queued messages; ``None`` for no limit, only for senders that
+        are limited themselves.
     """
 
     def __init__(self, *, size: int | None = None) -> None:
@@ -62,7 +62,7 @@
         self._send, self._receive = anyio.create_memory_object_stream[T](bound)
 
     def post(self, message: T) -> bool:
-        """Put a message without waiting.
+        """Queue a message without waiting.
 
         :return: ``False`` when the mailbox is full and the message was dropped.
         """
@@ -73,11 +73,11 @@
         return True
 
     async def put(self, message: T) -> None:
-        """Put a message, waiting for room."""
+        """Queue a message; wait while the mailbox is full."""
         await self._send.send(message)
 
     async def get(self) -> T:
-        """Take the next message."""
+        """Wait for the next message and return it."""
         return await self._receive.receive()
 
     async def __aiter__(self) -> AsyncIterator[T]:
--- a/src/hickorybeam/store/__init__.py
+++ b/src/hickorybeam/store/__init__.py
@@ -1,4 +1,4 @@
-"""The platform's key-value service: the port; its clients are modules of their own."""
+"""Port to the platform's key-value service; its clients are separate modules."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
     Compare,
     Delete,
     KeyValue,
-    PollingPlatform,
     Platform,
+    PollingPlatform,
     Put,
     ReadResult,
     TxnResult,
--- a/src/hickorybeam/store/port.py
+++ b/src/hickorybeam/store/port.py
@@ -1,10 +1,10 @@
-"""The port to the platform's key-value service: few calls, each of them counted there.
+"""Port to the platform's key-value service, with few calls because the service counts each one.
 
-Keys and values follow the service's model: revisions grow with every write, a
-compare-and-swap covers several keys at once, leases remove their keys when they lapse, and a
-watch tells of changes after a revision. Errors are ``GatewayError`` of the kinds
-``PLATFORM_OUT`` (nothing was written), ``PLATFORM_UNKNOWN`` (a write's answer was lost),
-``VALUE_TOO_LARGE``, ``WATCH_COMPACTED`` and ``LEASE_LOST``.
+It follows the service's model: the revision grows with every write, a compare-and-swap covers
+several keys, a lease removes its keys when it expires, and a watch yields the changes after a
+revision. Errors are ``GatewayError`` of the kinds ``PLATFORM_OUT`` (nothing was written),
+``PLATFORM_UNKNOWN`` (the response to a write was lost), ``VALUE_TOO_LARGE``, ``WATCH_COMPACTED``
+and ``LEASE_LOST``.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyValue:
-    """One key as the service holds it; ``mod_revision`` is the revision of its last write."""
+    """A key and its value in the store; ``mod_revision`` is the revision of its last write."""
 
     key: str
     value: bytes
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadResult:
-    """Keys found, in key order, and the revision at which they were read."""
+    """The keys found, in key order, and the revision at which they were read."""
 
     revision: int
     items: tuple[KeyValue, ...]
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Compare:
-    """Holds when the key was last written at this revision; 0 when it must not exist."""
+    """A condition: the key was last written at this revision, or doesn't exist (0)."""
 
     key: str
     mod_revision: int
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Put:
-    """Write a key, bound to a lease if one is given."""
+    """Writes a key; ``lease`` is the lease that it is bound to, 0 for none."""
 
     key: str
     value: bytes
@@ -69,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Delete:
-    """Remove a key."""
+    """Removes a key."""
 
     key: str
 
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TxnResult:
-    """Whether every comparison held and the writes took effect, and at which revision."""
+    """Whether all comparisons held, so that the writes took effect, and at which revision."""
 
     done: bool
     revision: int
@@ -87,9 +87,9 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchBatch:
-    """Changes of one revision or later; a deleted key carries no value.
+    """Changes up to ``revision`` that a watch yields at once; deleted keys have no value.
 
-    An empty batch is the service's progress notice: nothing was missed up to ``revision``.
+    An empty batch is a progress notification: all changes up to ``revision`` were delivered.
     """
 
     revision: int
@@ -110,7 +110,7 @@
         ...
 
     async def txn(self, compares: tuple[Compare, ...], writes: tuple[Write, ...]) -> TxnResult:
-        """Apply all writes if every comparison holds, else none."""
+        """Apply all writes if all comparisons hold, otherwise none."""
         ...
 
     async def grant(self, ttl_ms: int) -> int:
@@ -118,24 +118,24 @@
         ...
 
     async def keep_alive(self, lease: int) -> int:
-        """Renew a lease and return its time to live in ms, or raise ``LEASE_LOST``."""
+        """Renew a lease and return its time to live in ms; raise ``LEASE_LOST`` if it is gone."""
         ...
 
     async def revoke(self, lease: int) -> None:
-        """End a lease; its keys are removed."""
+        """End a lease and remove its keys."""
         ...
 
     def watch(self, prefix: str, *, after: int) -> AsyncIterator[WatchBatch]:
-        """Yield changes after a revision until closed; may go silent without an error."""
+        """Yield the changes after a revision until closed; may stall without an error."""
         ...
 
 
 @runtime_checkable
 class PollingPlatform(Platform, Protocol):
-    """A platform whose watches are made of calls, which are counted.
+    """A platform whose watches are repeated long polls, each counted as a call.
 
-    ``watch_poll_timeout_ms`` is how long one call may wait, ``watch_pause_ms`` the pause after one
-    that brought changes.
+    ``watch_poll_timeout_ms`` is the maximum wait of one poll, ``watch_pause_ms`` the pause after a
+    poll that returned changes.
     """
 
     watch_poll_timeout_ms: int
--- a/src/hickorybeam/store/retry.py
+++ b/src/hickorybeam/store/retry.py
@@ -1,4 +1,4 @@
-"""When a read of the platform is sent again, and after which pause."""
+"""Retry budget and back-off for reads of the platform."""
 
 from __future__ import annotations
 
@@ -9,41 +9,41 @@
 
 __all__ = ("RetryBudget", "backoff_ms")
 
-FIRST_BACKOFF_MS = 25
-LONGEST_BACKOFF_MS = 1_000
+MIN_BACKOFF_MS = 25
+MAX_BACKOFF_MS = 1_000
 
 
 class RetryBudget:
-    """Bounds the sum of retries to a share of the calls.
+    """Limits retries to a share of the calls.
 
-    Without it, every client of a service that is full sends each call several times, and the
-    service stays full after its first cause is gone.
+    Without it, all clients of an overloaded service send each call several times, and the
+    service stays overloaded after the cause is gone.
 
-    :param share: retries earned by each call; 0.1 adds at most a tenth to the load.
-    :param burst: retries that may be saved up, enough for a short fault of a quiet client.
+    :param share: retries earned per call; 0.1 adds at most a tenth to the load.
+    :param burst: maximum of saved retries; lets a client with few calls get over a short fault.
     """
 
     def __init__(self, *, share: float = 0.1, burst: float = 10.0) -> None:
         self._share = share
         self._burst = burst
-        self._saved = burst
+        self._available = burst
 
     def earn(self) -> None:
-        """Count one first attempt."""
-        self._saved = min(self._burst, self._saved + self._share)
+        """Add the share of one call; called on its first attempt."""
+        self._available = min(self._burst, self._available + self._share)
 
     def spend(self) -> bool:
-        """Take one retry if there is one."""
-        if self._saved < 1.0:
+        """Take one retry from the budget; return ``False`` if there is none."""
+        if self._available < 1.0:
             return False
-        self._saved -= 1.0
+        self._available -= 1.0
         return True
 
 
 def backoff_ms(attempt: int, rng: random.Random) -> float:
-    """Return the pause before a retry: doubled each time, with full jitter.
+    """Return the pause before a retry: full jitter below a bound that doubles each time.
 
-    :param attempt: how many attempts have failed, from 1.
+    :param attempt: number of failed attempts, from 1.
     """
-    bound = min(LONGEST_BACKOFF_MS, FIRST_BACKOFF_MS << min(attempt, 8))
-    return rng.uniform(FIRST_BACKOFF_MS, bound)
+    max_pause_ms = min(MAX_BACKOFF_MS, MIN_BACKOFF_MS << min(attempt, 8))
+    return rng.uniform(MIN_BACKOFF_MS, max_pause_ms)
--- a/src/hickorybeam/store/wire.py
+++ b/src/hickorybeam/store/wire.py
@@ -1,7 +1,7 @@
 """Messages of etcd v3's JSON mapping: bytes are base64 and 64-bit integers are strings.
 
-Only the fields that hickorybeam uses are named; decoders pass over all others, and fields
-that hold their default are left out, as the mapping does.
+Only the fields that hickorybeam uses are declared. Decoding ignores all others; encoding omits
+fields that have their default value, as the mapping does.
 """
 
 from __future__ import annotations
@@ -56,7 +56,7 @@
 LEASE_KEEP_ALIVE = "/v3/lease/keepalive"
 WATCH = "/v3/watch"
 
-# Status codes of gRPC, which the mapping carries in the body of an error.
+# gRPC status codes, sent in the body of an error response.
 CODE_INVALID = 3
 CODE_NOT_FOUND = 5
 CODE_TOO_MANY = 8
@@ -64,17 +64,17 @@
 
 
 class Message(msgspec.Struct, frozen=True, omit_defaults=True, kw_only=True):
-    """Base of all messages."""
+    """Base class of all messages."""
 
 
 class Header(Message, frozen=True):
-    """What every reply begins with."""
+    """Header of a reply: the store's revision when it was made."""
 
     revision: str = "0"
 
 
 class StatusReply(Message, frozen=True):
-    """The body of an error."""
+    """Body of an error response."""
 
     code: int = 0
     message: str = ""
@@ -82,7 +82,7 @@
 
 
 class KeyValueMessage(Message, frozen=True):
-    """One key; an event of a deletion carries no value."""
+    """A key and its value; in the event of a deletion the value is empty."""
 
     key: bytes
     value: bytes = b""
@@ -93,7 +93,7 @@
 
 
 class RangeRequest(Message, frozen=True):
-    """Read the keys from ``key`` up to ``range_end``, or one key without it."""
+    """Reads the keys from ``key`` up to ``range_end`` (exclusive), or one key without it."""
 
     key: bytes
     range_end: bytes = b""
@@ -101,7 +101,7 @@
 
 
 class RangeReply(Message, frozen=True):
-    """Keys in order, and the revision at which they were read."""
+    """The keys found, in order; the header has the revision at which they were read."""
 
     header: Header = Header()
     kvs: tuple[KeyValueMessage, ...] = ()
@@ -110,7 +110,7 @@
 
 
 class CompareMessage(Message, frozen=True):
-    """A comparison of a key's last revision."""
+    """Compares the revision of a key's last write."""
 
     key: bytes
     mod_revision: str = msgspec.field(default="0", name="modRevision")
@@ -119,7 +119,7 @@
 
 
 class PutRequest(Message, frozen=True):
-    """Write one key."""
+    """Writes one key."""
 
     key: bytes
     value: bytes = b""
@@ -127,66 +127,66 @@
 
 
 class DeleteRequest(Message, frozen=True):
-    """Remove one key."""
+    """Removes one key."""
 
     key: bytes
 
 
 class Operation(Message, frozen=True):
-    """One of the operations of a transaction."""
+    """One operation of a transaction: a put or a delete."""
 
     put: PutRequest | None = msgspec.field(default=None, name="requestPut")
     delete: DeleteRequest | None = msgspec.field(default=None, name="requestDeleteRange")
 
 
 class TxnRequest(Message, frozen=True):
-    """Apply ``success`` if every comparison holds."""
+    """Applies the operations in ``success`` if all comparisons hold."""
 
     compare: tuple[CompareMessage, ...] = ()
     success: tuple[Operation, ...] = ()
 
 
 class TxnReply(Message, frozen=True):
-    """Whether the comparisons held."""
+    """Whether all comparisons held."""
 
     header: Header = Header()
     succeeded: bool = False
 
 
 class LeaseGrantRequest(Message, frozen=True):
-    """Create a lease of so many seconds."""
+    """Creates a lease; ``ttl`` is in seconds."""
 
     ttl: str = msgspec.field(name="TTL")
 
 
 class LeaseGrantReply(Message, frozen=True):
-    """The lease that was created."""
+    """The created lease; ``ttl`` is in seconds."""
 
     id: str = msgspec.field(name="ID")
     ttl: str = msgspec.field(default="0", name="TTL")
 
 
 class LeaseRequest(Message, frozen=True):
-    """Renew or end a lease."""
+    """Renews or ends a lease."""
 
     id: str = msgspec.field(name="ID")
 
 
 class KeepAliveResult(Message, frozen=True):
-    """A renewed lease; without a time to live it has lapsed."""
+    """A renewed lease; ``ttl`` is in seconds, 0 if the lease has expired."""
 
     id: str = msgspec.field(default="0", name="ID")
     ttl: str = msgspec.field(default="0", name="TTL")
 
 
 class KeepAliveReply(Message, frozen=True):
-    """One line of the streamed reply to a renewal."""
+    """One line of the streamed reply to a lease renewal."""
 
     result: KeepAliveResult
 
 
 class WatchCreate(Message, frozen=True):
-    """Watch the keys from ``key`` up to ``range_end`` from a revision on."""
+    """Watches the keys from ``key`` up to ``range_end``, from ``start_revision`` on."""
 
     key: bytes
     range_end: bytes = b""
@@ -195,20 +195,20 @@
 
 
 class WatchRequest(Message, frozen=True):
-    """The only request that a watch carries here."""
+    """Request on a watch; only its creation is used."""
 
     create: WatchCreate = msgspec.field(name="create_request")
 
 
 class Event(Message, frozen=True):
-    """One change."""
+    """A change of one key."""
 
     kv: KeyValueMessage
     type: str = "PUT"
 
 
 class WatchResult(Message, frozen=True):
-    """Changes of a watch, or its end."""
+    """Changes that a watch reports, or its end."""
 
     header: Header = Header()
     created: bool = False
@@ -225,7 +225,7 @@
 
 
 def as_key_value_message(item: KeyValue) -> KeyValueMessage:
-    """Return a key as the mapping writes it."""
+    """Return a key as a message of the mapping."""
     return KeyValueMessage(
         key=item.key.encode(),
         value=item.value,
--- a/tests/steps/kernel/kernel_steps.py
+++ b/tests/steps/kernel/kernel_steps.py
@@ -21,7 +21,7 @@
             started()
             if self.crashes:
                 self.crashes -= 1
-                raise RuntimeError("crash wanted by the test")
+                raise RuntimeError("crash injected by the test")
             try:
                 await anyio.sleep_forever()
             finally:
@@ -37,7 +37,7 @@
     return Probe()
 
 
-@given('a kernel with services "{specs}" and {limit_ms:d} ms to finish')
+@given('a kernel with services "{specs}" and a drain limit of {limit_ms:d} ms')
 def step_limited_kernel(context, specs, limit_ms):
     make_kernel(context, specs, drain_limit_ms=limit_ms)
 
@@ -57,7 +57,7 @@
         context.kernel.add(probe)
 
 
-@given('service "{name}" never finishes')
+@given('service "{name}" never finishes draining')
 def step_stuck(context, name):
     context.probes[name].stuck = True
 
--- a/tests/steps/store/contract_steps.py
+++ b/tests/steps/store/contract_steps.py
@@ -18,12 +18,12 @@
 
 
 class ShiftedClock(SystemClock):
-    """The machine's clock, which a test can move ahead."""
+    """The system clock, which a test can move forward."""
 
-    ahead = 0
+    offset_ms = 0
 
     def now(self):
-        return super().now() + self.ahead
+        return super().now() + self.offset_ms
 
 
 def etcd_client(*urls, prefix="/hickorybeam/"):
@@ -75,26 +75,26 @@
 @given('a second platform client with prefix "{prefix}"')
 def step_second(context, prefix):
     if context.impl == "memory":
-        context.second = standin.MemoryPlatform(context.stand_in, prefix=prefix)
+        context.second_client = standin.MemoryPlatform(context.stand_in, prefix=prefix)
     else:
-        context.second = context.call(lambda: etcd_client(context.served.url, prefix=prefix))
+        context.second_client = context.call(lambda: etcd_client(context.served.url, prefix=prefix))
 
 
 @then("the second platform client finds nothing")
-def step_second_nothing(context):
-    assert context.call(context.second.read_prefix, "").items == ()
+def step_second_finds_nothing(context):
+    assert context.call(context.second_client.read_prefix, "").items == ()
 
 
-def puts(text, lease=0):
+def parse_puts(text, lease=0):
     pairs = [pair.strip().split("=") for pair in text.split(",") if pair.strip()]
     return tuple(Put(key, value.encode(), lease) for key, value in pairs)
 
 
-def shown(items):
+def show_items(items):
     return ", ".join(f"{item.key}={item.value.decode()}" for item in items)
 
 
-def revision_of(context, key):
+def current_revision(context, key):
     found = context.call(context.client.read, key).items
     return found[0].mod_revision if found else 0
 
@@ -102,28 +102,30 @@
 @given('platform txn puts "{text}" if "{key}" is at {revision:d}')
 @when('platform txn puts "{text}" if "{key}" is at {revision:d}')
 def step_put_at(context, text, key, revision):
-    context.done = context.call(context.client.txn, (Compare(key, revision),), puts(text))
+    context.txn_result = context.call(
+        context.client.txn, (Compare(key, revision),), parse_puts(text)
+    )
 
 
 @when('platform txn puts "{text}" if "{key}" is unchanged')
 def step_put(context, text, key):
-    step_put_at(context, text, key, revision_of(context, key))
+    step_put_at(context, text, key, current_revision(context, key))
 
 
 @when('platform txn deletes "{gone}" if "{key}" is unchanged')
 def step_delete(context, gone, key):
-    compares = (Compare(key, revision_of(context, key)),)
-    context.done = context.call(context.client.txn, compares, (Delete(gone),))
+    compares = (Compare(key, current_revision(context, key)),)
+    context.txn_result = context.call(context.client.txn, compares, (Delete(gone),))
 
 
 @then("the platform txn is done")
 def step_done(context):
-    assert context.done.done
+    assert context.txn_result.done
 
 
 @then("the platform txn is not done")
 def step_not_done(context):
-    assert not context.done.done
+    assert not context.txn_result.done
 
 
 @then('platform keys under "{prefix}" are "{text}"')
@@ -131,30 +133,30 @@
 @then('platform keys under "" are ""')
 def step_keys(context, prefix="", text=""):
     found = context.call(context.client.read_prefix, prefix)
-    assert shown(found.items) == text, found
+    assert show_items(found.items) == text, found
 
 
 @then('platform keys under "" from "{start}" on are "{text}"')
 def step_keys_from(context, start, text):
     found = context.call(lambda: context.client.read_prefix("", start=start))
-    assert shown(found.items) == text, found
+    assert show_items(found.items) == text, found
 
 
 @then('at most {limit:d} platform key under "" is "{text}"')
 def step_keys_limit(context, limit, text):
     found = context.call(lambda: context.client.read_prefix("", limit=limit))
-    assert shown(found.items) == text, found
+    assert show_items(found.items) == text, found
 
 
 @given('a platform lease of {ttl:d} ms with key "{text}"')
 def step_lease(context, ttl, text):
     context.lease = context.call(context.client.grant, ttl)
-    context.call(context.client.txn, (), puts(text, context.lease))
+    context.call(context.client.txn, (), parse_puts(text, context.lease))
 
 
 @when("{ms:d} ms pass on the platform")
-def step_pass(context, ms):
-    context.clock.ahead += ms
+def step_advance_clock(context, ms):
+    context.clock.offset_ms += ms
 
 
 @then("renewing the platform lease gives {ttl:d} ms")
@@ -166,8 +168,8 @@
 def step_lease_end(context, end):
     match end:
         case "time":
-            context.clock.ahead += 3_001
-        case "lapse":
+            context.clock.offset_ms += 3_001
+        case "forced expiry":
             context.call(context.stand_in.lapse, context.lease)
         case "revoke":
             context.call(context.client.revoke, context.lease)
@@ -188,7 +190,7 @@
 
 @then('writing under the platform lease fails with "{kind}"')
 def step_lease_write_fails(context, kind):
-    assert outcome(context, context.client.txn, (), puts("k=v", context.lease)) == kind
+    assert outcome(context, context.client.txn, (), parse_puts("k=v", context.lease)) == kind
 
 
 @when('the platform fault is "{fault}"')
@@ -198,13 +200,13 @@
     match fault:
         case "none":
             pass
-        case "out":
+        case "outage":
             context.call(faults.set_out, True)
         case "unreachable":
-            context.healthy = getattr(context, "healthy", context.client)
+            context.healthy_client = getattr(context, "healthy_client", context.client)
             make = kv_client if context.impl == "kv" else etcd_client
             context.client = context.call(make, UNREACHABLE)
-        case "lose answer":
+        case "lose response":
             faults.lose_answers = 1
         case "drop":
             faults.drop_requests = 1
@@ -221,12 +223,12 @@
     context.call(context.stand_in.faults.set_out, False)
     context.stand_in.faults.drop_requests = 0
     context.stand_in.faults.lose_answers = 0
-    context.client = getattr(context, "healthy", context.client)
+    context.client = getattr(context, "healthy_client", context.client)
 
 
 @then('a platform write of "{text}" ends with "{kind}"')
 def step_write_ends(context, text, kind):
-    writes = puts(text)
+    writes = parse_puts(text)
     if context.write_value is not None:
         writes = (Put(writes[0].key, context.write_value),)
     assert outcome(context, context.client.txn, (), writes) == kind
@@ -239,16 +241,16 @@
 
 
 @then("the platform saw {count:d} writes")
-def step_saw(context, count):
+def step_write_count(context, count):
     assert context.stand_in.calls["txn"] == count, context.stand_in.calls
 
 
 class Watcher:
-    """Collects what one watch yields."""
+    """Collects the batches that a watch yields, and the kind of its error."""
 
     def __init__(self, client, after):
         self.client, self.after = client, after
-        self.seen, self.kind = [], ""
+        self.batches, self.kind = [], ""
 
     async def run(self, count, timeout_s):
         with anyio.move_on_after(timeout_s):
@@ -256,8 +258,8 @@
                 async for batch in self.client.watch("", after=self.after):
                     parts = [f"{kv.key}={kv.value.decode()}" for kv in batch.puts]
                     parts += [f"-{key}" for key in batch.deletes]
-                    self.seen.append(" ".join(parts))
-                    if len(self.seen) == count:
+                    self.batches.append(" ".join(parts))
+                    if len(self.batches) == count:
                         return
             except GatewayError as exc:
                 self.kind = exc.kind.value
@@ -265,7 +267,7 @@
 
 def start_watch(context, after, count, timeout_s=3.0):
     watcher = Watcher(context.client, after)
-    watcher.done = context.portal.start_task_soon(watcher.run, count, timeout_s)
+    watcher.task = context.portal.start_task_soon(watcher.run, count, timeout_s)
     return watcher
 
 
@@ -284,15 +286,15 @@
 
 @then('the platform watch yields "{text}"')
 def step_watch_yields(context, text):
-    context.watcher.done.result()
-    assert "; ".join(context.watcher.seen) == text, context.watcher.seen
+    context.watcher.task.result()
+    assert "; ".join(context.watcher.batches) == text, context.watcher.batches
 
 
 @then('a platform watch from the start yields "{text}"')
 def step_watch_start(context, text):
     watcher = start_watch(context, 1, text.count(";") + 1)
-    watcher.done.result()
-    assert "; ".join(watcher.seen) == text, watcher.seen
+    watcher.task.result()
+    assert "; ".join(watcher.batches) == text, watcher.batches
 
 
 @when("the platform history is compacted")
@@ -303,24 +305,24 @@
 @then('a platform watch from the start fails with "{kind}"')
 def step_watch_start_fails(context, kind):
     watcher = start_watch(context, 1, 1)
-    watcher.done.result()
-    assert (watcher.kind, watcher.seen) == (kind, [])
+    watcher.task.result()
+    assert (watcher.kind, watcher.batches) == (kind, [])
 
 
-@when("the platform watches go silent")
-def step_silence(context):
+@when("the platform watches stall")
+def step_stall_watches(context):
     context.call(context.stand_in.faults.silence_watches)
 
 
 @then("the platform watch yields nothing within {ms:d} ms")
 def step_watch_nothing(context, ms):
     context.call(anyio.sleep, ms / 1000)
-    assert context.watcher.seen == []
-    assert not context.watcher.done.done()
+    assert context.watcher.batches == []
+    assert not context.watcher.task.done()
 
 
 @then('the platform watch fails with "{kind}"')
 def step_watch_fails(context, kind):
-    context.watcher.done.result()
+    context.watcher.task.result()
     assert context.watcher.kind == kind, context.watcher.kind
     assert ErrorKind(kind)
--- a/tests/steps/store/etcd_steps.py
+++ b/tests/steps/store/etcd_steps.py
@@ -23,39 +23,39 @@
             response = await pool.request("POST", url, content=body.encode())
             return response.content.decode()
 
-    context.raw = context.call(call)
+    context.raw_response = context.call(call)
 
 
-@then("the raw platform answer holds '{part}'")
-def step_raw_holds(context, part):
-    assert part in context.raw, context.raw
+@then("the raw platform response contains '{part}'")
+def step_raw_contains(context, part):
+    assert part in context.raw_response, context.raw_response
 
 
 @given("an etcd client behind a relay")
 def step_relay(context):
     served = serve(context)
-    context.link = context.stack.enter_context(
+    context.relay = context.stack.enter_context(
         context.portal.wrap_async_context_manager(relay.serve("127.0.0.1", served.port))
     )
-    context.client = context.call(etcd_client, f"http://{context.link.address}")
+    context.client = context.call(etcd_client, f"http://{context.relay.address}")
 
 
 @given("the etcd client has read once")
 def step_read_once(context):
     context.call(context.client.read, "a")
-    context.passed = context.link.bytes_passed
-    assert context.passed > 0
+    context.bytes_before = context.relay.bytes_passed
+    assert context.bytes_before > 0
 
 
-@when("the relay swallows all bytes of the open connections")
-def step_swallow(context):
-    context.call(context.link.drop_bytes_of_open)
+@when("the relay drops all bytes of the open connections")
+def step_drop_bytes(context):
+    context.call(context.relay.drop_bytes_of_open)
 
 
 @then("the etcd client reads again over a new connection")
 def step_reads_again(context):
     assert context.call(context.client.read, "a").items == ()
-    assert context.link.bytes_passed > context.passed
+    assert context.relay.bytes_passed > context.bytes_before
 
 
 @given("an etcd client whose first address refuses connections")
@@ -87,8 +87,8 @@
     assert [context.budget.spend() for _ in range(2)] == [True, False]
 
 
-@given('an etcd client whose server answers "{text}"')
-def step_garbled(context, text):
+@given('an etcd client whose server responds "{text}"')
+def step_undecodable_response(context, text):
     async def app(scope, receive, send):
         await send({"type": "http.response.start", "status": 200, "headers": []})
         await send({"type": "http.response.body", "body": text.encode() + b"\n"})
--- a/tests/store/contract.feature
+++ b/tests/store/contract.feature
@@ -1,6 +1,6 @@
-Feature: whatever stands behind the platform port keeps one contract
+Feature: all implementations of the platform port keep the same contract
 
-  Scenario Outline: reads, compare-and-swap and prefixes
+  Scenario Outline: reads, compare-and-swap and prefix reads work
     Given platform "<impl>"
     When platform txn puts "a=1" if "a" is at 0
     Then the platform txn is done
@@ -20,7 +20,7 @@
       | etcd   |
       | kv     |
 
-  Scenario Outline: two clients with prefixes of their own never meet
+  Scenario Outline: clients with different prefixes don't see each other's keys
     Given platform "<impl>"
     And a second platform client with prefix "/other/"
     When platform txn puts "a=1" if "a" is at 0
@@ -31,9 +31,9 @@
       | memory |
       | etcd   |
 
-  Scenario Outline: a lease takes its keys along when it ends
-    # The holder is paused past its lease: the service removes the key, so another may take it;
-    # the holder's next renewal and its next write under the lease are refused.
+  Scenario Outline: a lease removes its keys when it ends
+    # The holder is paused until its lease has expired: the service removes the key, so another VM
+    # may take it. The holder's next renewal and its next write under the lease are rejected.
     Given platform "<impl>"
     And a platform lease of 3000 ms with key "holder=me"
     When 2000 ms pass on the platform
@@ -46,21 +46,21 @@
     And writing under the platform lease fails with "lease_lost"
 
     Examples:
-      | impl   | end    |
-      | memory | time   |
-      | memory | lapse  |
-      | memory | revoke |
-      | etcd   | time   |
-      | etcd   | lapse  |
-      | etcd   | revoke |
-      | kv     | time   |
-      | kv     | lapse  |
-      | kv     | revoke |
-
-  Scenario Outline: a fault of the service has one meaning for its caller
-    # The service is out, or its answer is lost after the write took effect, or before. A write
-    # whose outcome is open is never sent again by the client: only its owner can read back
-    # what became of it. A read is simply sent again.
+      | impl   | end           |
+      | memory | time          |
+      | memory | forced expiry |
+      | memory | revoke        |
+      | etcd   | time          |
+      | etcd   | forced expiry |
+      | etcd   | revoke        |
+      | kv     | time          |
+      | kv     | forced expiry |
+      | kv     | revoke        |
+
+  Scenario Outline: a fault of the service gives the same error with each implementation
+    # The service is unavailable, or its response is lost after the write took effect, or before.
+    # The client never retries a write with an unknown outcome: only the owner of the key can read
+    # back whether it took effect. A read is simply retried.
     Given platform "<impl>"
     And platform txn puts "a=1" if "a" is at 0
     When the platform fault is "<fault>"
@@ -72,29 +72,29 @@
     And the platform saw <writes> writes
 
     Examples:
-      | impl   | fault       | write            | read         | after | writes |
-      | memory | none        | done             | done         | a=2   | 2      |
-      | memory | out         | platform_out     | platform_out | a=1   | 1      |
-      | memory | lose answer | platform_unknown | done         | a=2   | 2      |
-      | memory | drop        | platform_unknown | platform_out | a=1   | 1      |
-      | memory | slow        | done             | done         | a=2   | 2      |
-      | memory | too large   | value_too_large  | done         | a=1   | 1      |
-      | etcd   | none        | done             | done         | a=2   | 2      |
-      | etcd   | out         | platform_out     | platform_out | a=1   | 1      |
-      | etcd   | unreachable | platform_out     | platform_out | a=1   | 1      |
-      | etcd   | lose answer | platform_unknown | done         | a=2   | 2      |
-      | etcd   | drop        | platform_unknown | done         | a=1   | 1      |
-      | etcd   | slow        | done             | done         | a=2   | 2      |
-      | etcd   | too large   | value_too_large  | done         | a=1   | 1      |
-      | kv     | none        | done             | done         | a=2   | 2      |
-      | kv     | out         | platform_out     | platform_out | a=1   | 1      |
-      | kv     | unreachable | platform_out     | platform_out | a=1   | 1      |
-      | kv     | lose answer | platform_unknown | done         | a=2   | 2      |
-      | kv     | drop        | platform_unknown | done         | a=1   | 1      |
-      | kv     | slow        | done             | done         | a=2   | 2      |
-      | kv     | too large   | value_too_large  | done         | a=1   | 1      |
-
-  Scenario Outline: a watch tells every change after its revision, in order
+      | impl   | fault         | write            | read         | after | writes |
+      | memory | none          | done             | done         | a=2   | 2      |
+      | memory | outage        | platform_out     | platform_out | a=1   | 1      |
+      | memory | lose response | platform_unknown | done         | a=2   | 2      |
+      | memory | drop          | platform_unknown | platform_out | a=1   | 1      |
+      | memory | slow          | done             | done         | a=2   | 2      |
+      | memory | too large     | value_too_large  | done         | a=1   | 1      |
+      | etcd   | none          | done             | done         | a=2   | 2      |
+      | etcd   | outage        | platform_out     | platform_out | a=1   | 1      |
+      | etcd   | unreachable   | platform_out     | platform_out | a=1   | 1      |
+      | etcd   | lose response | platform_unknown | done         | a=2   | 2      |
+      | etcd   | drop          | platform_unknown | done         | a=1   | 1      |
+      | etcd   | slow          | done             | done         | a=2   | 2      |
+      | etcd   | too large     | value_too_large  | done         | a=1   | 1      |
+      | kv     | none          | done             | done         | a=2   | 2      |
+      | kv     | outage        | platform_out     | platform_out | a=1   | 1      |
+      | kv     | unreachable   | platform_out     | platform_out | a=1   | 1      |
+      | kv     | lose response | platform_unknown | done         | a=2   | 2      |
+      | kv     | drop          | platform_unknown | done         | a=1   | 1      |
+      | kv     | slow          | done             | done         | a=2   | 2      |
+      | kv     | too large     | value_too_large  | done         | a=1   | 1      |
+
+  Scenario Outline: a watch yields every change after its revision, in order
     Given platform "<impl>"
     And platform txn puts "a=1" if "a" is at 0
     And a platform watch from now on
@@ -109,7 +109,7 @@
       | etcd   |
       | kv     |
 
-  Scenario Outline: a watch from a compacted revision says so
+  Scenario Outline: a watch from a compacted revision fails with its own error
     Given platform "<impl>"
     And platform txn puts "a=1" if "a" is at 0
     When the platform history is compacted
@@ -121,12 +121,12 @@
       | etcd   |
       | kv     |
 
-  Scenario Outline: a silent watch says nothing, while a new one works
-    # Something between the two ends lost track of the connection: no error and no change
-    # arrives on it for good. The reader can't tell from the watch alone; a new one works.
+  Scenario Outline: a stalled watch yields nothing, and a new one works
+    # A device between client and service lost track of the connection, so neither an error nor a
+    # change ever arrives on it. The client can't tell this from the watch alone; a new one works.
     Given platform "<impl>"
     And a platform watch from now on
-    When the platform watches go silent
+    When the platform watches stall
     And platform txn puts "a=1" if "a" is at 0
     Then the platform watch yields nothing within 100 ms
     And a platform watch from the start yields "a=1"
@@ -137,10 +137,10 @@
       | etcd   |
       | kv     |
 
-  Scenario Outline: a watch breaks with an error when the service goes out
+  Scenario Outline: a watch ends with an error when the service becomes unavailable
     Given platform "<impl>"
     And a platform watch from now on
-    When the platform fault is "out"
+    When the platform fault is "outage"
     Then the platform watch fails with "platform_out"
 
     Examples:
