--- a/src/hickorybeam/store/etcd.py
+++ b/src/hickorybeam/store/etcd.py
@@ -170,7 +170,7 @@
         return int(reply.id)
 
     async def keep_alive(self, lease: int) -> int:
-        """Renew a lease and return its time to live in ms; raise ``LEASE_LOST`` if it is gone."""
+        """Renew a lease and return its time to live in ms; raise ``LEASE_LOST`` if it has ended."""
         request = wire.LeaseRequest(id=str(lease))
         reply = await self._call(
             CallKind.LEASE, wire.LEASE_KEEP_ALIVE, request, wire.KeepAliveReply, write=False
--- a/src/hickorybeam/store/port.py
+++ b/src/hickorybeam/store/port.py
@@ -87,9 +87,10 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchBatch:
-    """Changes up to ``revision`` that a watch yields at once; deleted keys have no value.
+    """Changes that a watch yields at once; ``revision`` is theirs or a later one.
 
-    An empty batch is a progress notification: all changes up to ``revision`` were delivered.
+    Deleted keys have no value. An empty batch is a progress notification: all changes up to
+    ``revision`` were delivered.
     """
 
     revision: int
@@ -118,7 +119,7 @@
         ...
 
     async def keep_alive(self, lease: int) -> int:
-        """Renew a lease and return its time to live in ms; raise ``LEASE_LOST`` if it is gone."""
+        """Renew a lease and return its time to live in ms; raise ``LEASE_LOST`` if it has ended."""
         ...
 
     async def revoke(self, lease: int) -> None:
--- a/tests/steps/store/contract_steps.py
+++ b/tests/steps/store/contract_steps.py
@@ -112,10 +112,10 @@
     step_put_at(context, text, key, current_revision(context, key))
 
 
-@when('platform txn deletes "{gone}" if "{key}" is unchanged')
-def step_delete(context, gone, key):
+@when('platform txn deletes "{deleted_key}" if "{key}" is unchanged')
+def step_delete(context, deleted_key, key):
     compares = (Compare(key, current_revision(context, key)),)
-    context.txn_result = context.call(context.client.txn, compares, (Delete(gone),))
+    context.txn_result = context.call(context.client.txn, compares, (Delete(deleted_key),))
 
 
 @then("the platform txn is done")
