--- a/src/hickorybeam/control/lease_term.py
+++ b/src/hickorybeam/control/lease_term.py
@@ -39,7 +39,7 @@
 
 
 def send_until(asked_at_ms: int, ttl_ms: int) -> int:
-    """Return until when a lease that was granted or renewed after ``asked_at_ms`` is valid."""
+    """Return until when a lease granted or renewed after ``asked_at_ms`` is surely valid."""
     return asked_at_ms + int(ttl_ms * LEASE_SAFETY_FACTOR)
 
 
--- a/src/hickorybeam/control/service.py
+++ b/src/hickorybeam/control/service.py
@@ -120,8 +120,8 @@
         """
         if self._members is None:
             return True
-        me = self._members.own_vm
-        return me.id in {vm.id for vm in watchers(self._members.vms(), me.data_centre)}
+        own_vm = self._members.own_vm
+        return own_vm.id in {vm.id for vm in watchers(self._members.vms(), own_vm.data_centre)}
 
     async def _hold_lease(self) -> None:
         try:
--- a/src/hickorybeam/once/service.py
+++ b/src/hickorybeam/once/service.py
@@ -47,8 +47,8 @@
 MAX_KEYS: Final = 100_000
 MAX_TOTAL_STORED_BYTES: Final = 32_000_000
 
-# Longer than a claim's lease, so that this VM never forgets a claim of its own that still exists
-# at the platform.
+# Longer than a claim's lease can last, so that this VM never forgets a claim of its own that
+# still exists at the platform.
 CHOSEN_KEY_LIFETIME_MS: Final = 2 * MIN_CLAIM_MS + 60_000
 
 # A VM that was paused between its claim and its call must not run the call if the claim may have
--- a/src/hickorybeam/shares/lending.py
+++ b/src/hickorybeam/shares/lending.py
@@ -153,7 +153,7 @@
         return LoanReply(tuple(loans))
 
     async def report_closed_loans(self) -> None:
-        """Report closed loans to lenders that no loan request has told of them."""
+        """Report closed loans to lenders that get no loan request, which would carry the report."""
         now = self._clock.now()
         self._account_buckets.borrower.expire(now)
         self._account_buckets.lender.expire(self._account_buckets.buckets, now)
