--- a/src/hickorybeam/tickets/apply.py
+++ b/src/hickorybeam/tickets/apply.py
@@ -174,10 +174,10 @@
     config = ConfigState(position=position, head_ticket=ticket.number, objects=objects)
     used = {**state.used, ticket.number: UsedNumber(position, content_digest(ticket))}
     after = LogState(config=config, used=used, floor=state.floor)
-    return _forget_old_numbers(after) if len(used) > 3 * REMEMBERED_NUMBERS else after
+    return _drop_old_numbers(after) if len(used) > 3 * REMEMBERED_NUMBERS else after
 
 
-def _forget_old_numbers(state: LogState) -> LogState:
+def _drop_old_numbers(state: LogState) -> LogState:
     """Drop old numbers, and the deletions that the floor makes redundant.
 
     Without a bound, numbers and deletions would outgrow the platform's values and every VM's
