--- a/src/hickorybeam/control/service.py
+++ b/src/hickorybeam/control/service.py
@@ -121,7 +121,9 @@
         if self._members is None:
             return True
         own_vm = self._members.own_vm
-        return own_vm.id in {vm.id for vm in store_watchers(self._members.vms(), own_vm.data_centre)}
+        return own_vm.id in {
+            vm.id for vm in store_watchers(self._members.vms(), own_vm.data_centre)
+        }
 
     async def _hold_lease(self) -> None:
         try:
