--- a/src/hickorybeam/policy/backend_table.py
+++ b/src/hickorybeam/policy/backend_table.py
@@ -27,8 +27,8 @@
 # How long this VM's past load is kept, to subtract it from a report of that time: reports come
 # every 500 ms and lag by up to a few seconds.
 HISTORY_MS = 5_000
-# A server whose own queue is longer than this share of its slots is congested. A shorter queue
-# is only requests between two steps of the engine.
+# A server whose own queue is longer than this share of its slots is congested. A shorter queue is
+# normal: a report may catch requests between two steps of the engine.
 MAX_QUEUE_SHARE = 0.1
 MOSTLY_FAILING_SHARE = 0.5
 
