--- a/src/hickorybeam/policy/cold_health_checks.py
+++ b/src/hickorybeam/policy/cold_health_checks.py
@@ -1,6 +1,6 @@
 """Which backend servers a VM health-checks, and how often.
 
-While a VM is cut off from the store, or the store is unavailable to all, a server that it sends
+While a VM can't reach the store, or the store is unavailable to all, a server that it sends
 to may restart and be cold without the VM being informed; sent to at the full rate, the server
 crashes under the requests of its first second. Frequent health checks find it cold before it has
 got more requests than the limit for cold servers allows. While the store or a local VM reports
--- a/src/hickorybeam/policy/health.py
+++ b/src/hickorybeam/policy/health.py
@@ -63,7 +63,7 @@
 MAX_BACKOFF_MS = 10_000
 SUSPECT_AFTER_FAILURES = 2
 # A call is recalled from a server known to be slow after this proportion of the time that counts
-# as late for others.
+# as late for others, since no further evidence is needed.
 RECALL_RATIO = 0.375
 MAX_EJECTION_MS = 30_000
 RAMP_MS = 5_000
--- a/tests/policy/share_parts.feature
+++ b/tests/policy/share_parts.feature
@@ -33,8 +33,8 @@
     Then the share borrower has 5 tokens at 200
 
   Scenario: a share doesn't grow while a lost write may still take effect
-    # The write that transfers 400000 parts got no response, and a read still shows them at their
-    # giver. Used again, they would be used twice if the write takes effect after all.
+    # The write that transfers 400000 parts got no response, and a read still shows them at its
+    # sender. Used again, they would be used twice if the write takes effect after all.
     Given a share group in which "me" holds 1000000 parts at revision 5
     When "me" transfers 400000 parts to "other" in a write that gets no response
     And the share group is read unchanged at revision 5
--- a/tests/steps/policy/share_machine.py
+++ b/tests/steps/policy/share_machine.py
@@ -165,8 +165,8 @@
             if self.awake(number) and self.spendable(vm) > 0:
                 self.take(number, self.spendable(vm))
 
-    @rule(pick=CHOICE, part=st.sampled_from((0.0, 0.1, 0.9, 1.0)), with_admission=st.booleans())
-    def settle(self, pick, part, with_admission):
+    @rule(pick=CHOICE, part=st.sampled_from((0.0, 0.1, 0.9, 1.0)), names_admission=st.booleans())
+    def settle(self, pick, part, names_admission):
         running = [spend for spend in self.spends if not spend.settled]
         if not running:
             return
@@ -176,7 +176,7 @@
             return
         spend.settled = True
         spend.used = spend.taken * part
-        admission = spend.admission if with_admission else 0
+        admission = spend.admission if names_admission else 0
         vm.bucket.refund(spend.taken - spend.used, self.now, admission)
 
     # loans
@@ -188,7 +188,7 @@
             return
         before = len(self.messages)
         self.ask(number, other, wanted)
-        self.answer(self.vms[other], self.messages.pop())
+        self.handle_request(self.vms[other], self.messages.pop())
         if len(self.messages) > before:
             self.receive(self.vms[number], self.messages[-1])
 
@@ -222,7 +222,7 @@
         if target is None or target.paused_until_ms > self.now:
             return
         if message[0] == "ask":
-            self.answer(target, message)
+            self.handle_request(target, message)
         else:
             self.receive(target, message)
 
@@ -237,7 +237,7 @@
     def lose(self, pick):
         self.messages.pop(pick % len(self.messages))
 
-    def answer(self, lender, message):
+    def handle_request(self, lender, message):
         _, sender, _, wanted, closed, sent = message
         for report in closed:
             lender.lender.close(report, {ACCOUNT: lender.bucket}, self.now)
