--- a/src/hickorybeam/policy/cold_limit.py
+++ b/src/hickorybeam/policy/cold_limit.py
@@ -41,7 +41,7 @@
         self._at_ms = now_ms
 
     def ready(self, now_ms: int) -> bool:
-        """Whether a request may be sent now."""
+        """Return whether a request may be sent now."""
         self._available = min(1.0, self._available + (now_ms - self._at_ms) * self._per_ms)
         self._at_ms = now_ms
         return self._available >= 1.0
--- a/src/hickorybeam/policy/concurrency.py
+++ b/src/hickorybeam/policy/concurrency.py
@@ -41,7 +41,7 @@
 
 
 def is_long_job(cost: float, median_cost: float) -> bool:
-    """Whether a job is long compared with the median cost so far."""
+    """Return whether a job is long compared with the median cost so far."""
     return median_cost > 0 and cost > LONG_JOB_FACTOR * median_cost
 
 
--- a/src/hickorybeam/policy/drain.py
+++ b/src/hickorybeam/policy/drain.py
@@ -17,5 +17,5 @@
 
 
 def accepts_new_work(server: BackendServer, report: LoadReport | None) -> bool:
-    """Whether a server may get new work, by its configuration and its last load report."""
+    """Return whether a server may get new work, by its configuration and its last load report."""
     return not server.leaving and not (report is not None and report.leaving)
--- a/src/hickorybeam/policy/health.py
+++ b/src/hickorybeam/policy/health.py
@@ -210,11 +210,11 @@
         return max(PROBE_WEIGHT, base * math.pow(0.5, health.recent_failures(now_ms)))
 
     def is_backing_off(self, server: str, now_ms: int) -> bool:
-        """Whether a server is in back-off after a failure."""
+        """Return whether a server is in back-off after a failure."""
         return now_ms < self.record(server).backoff_until_ms
 
     def is_suspect(self, server: str) -> bool:
-        """Whether a server failed several times in a row and gets one call at a time."""
+        """Return whether a server failed several times in a row and gets one call at a time."""
         return self.record(server).failures_in_a_row >= SUSPECT_AFTER_FAILURES
 
     def take_overdue_jobs(self, server: str, now_ms: int, pool: Iterable[str]) -> list[int]:
@@ -239,7 +239,7 @@
         return found
 
     def all_failing(self, pool: Iterable[str], now_ms: int) -> bool:
-        """Whether every server of a pool is ejected, in back-off after a failure, or being probed.
+        """Return whether all servers of a pool are ejected, in back-off, or being probed.
 
         The limit on ejections keeps half of a dead region's servers in use. They fail at once
         and so always look free; without this check the region would keep all its callers.
--- a/src/hickorybeam/policy/retry.py
+++ b/src/hickorybeam/policy/retry.py
@@ -63,7 +63,7 @@
 
 
 def may_retry(exc: GatewayError, *, idempotent: bool) -> bool:
-    """Whether a failed attempt may be followed by another one.
+    """Return whether a failed attempt may be followed by another one.
 
     A call that isn't idempotent is retried only if it is known not to have run.
     """
--- a/src/hickorybeam/policy/shedding.py
+++ b/src/hickorybeam/policy/shedding.py
@@ -75,7 +75,7 @@
         return self._held_bytes
 
     def fits(self, account: str, size_bytes: int) -> bool:
-        """Whether a body of this size may be held for an account."""
+        """Return whether a body of this size may be held for an account."""
         free_bytes = self._limit_bytes - self._held_bytes
         if size_bytes > free_bytes:
             return False
--- a/src/hickorybeam/policy/shutdown.py
+++ b/src/hickorybeam/policy/shutdown.py
@@ -46,7 +46,7 @@
         return self.grace_ms - END_MARGIN_MS
 
     def accepts(self, *, since_ms: float, left_ms: float) -> bool:
-        """Whether a request is accepted and surely ends in time.
+        """Return whether a request is accepted and surely ends in time.
 
         :param since_ms: time since the shutdown began.
         :param left_ms: time until the request's deadline.
--- a/src/hickorybeam/policy/spending_lease.py
+++ b/src/hickorybeam/policy/spending_lease.py
@@ -52,11 +52,11 @@
         self._promise_until_ms = -1
 
     def lease_valid(self, now_ms: int) -> bool:
-        """Whether the platform's lease is surely still valid."""
+        """Return whether the platform's lease is surely still valid."""
         return now_ms < self._lease_until_ms
 
     def may_spend(self, now_ms: int) -> bool:
-        """Whether this VM may spend its shares without asking its neighbours first."""
+        """Return whether this VM may spend its shares without asking its neighbours first."""
         return now_ms < max(self._lease_until_ms, self._promise_until_ms)
 
 
--- a/src/hickorybeam/policy/watchers.py
+++ b/src/hickorybeam/policy/watchers.py
@@ -26,7 +26,7 @@
 
 
 def should_watch(me: str, live_peers: Mapping[str, bool]) -> bool:
-    """Whether a VM should watch the store itself.
+    """Return whether a VM should watch the store itself.
 
     :param me: the VM's name.
     :param live_peers: the other live VMs of its data centre, and whether each watches the store.
