--- a/src/hickorybeam/backends/pool.py
+++ b/src/hickorybeam/backends/pool.py
@@ -1,4 +1,4 @@
-"""Connections to backend servers: one request at a time on each, reused while young."""
+"""Pool of connections to backend servers, reused while their idle time is short."""
 
 from __future__ import annotations
 
@@ -21,15 +21,15 @@
 
 __all__ = ("Connection", "ConnectionPool")
 
-REAP_EVERY_MS = 1_000
-IDLE_PER_SERVER = 64
+REAP_INTERVAL_MS = 1_000
+MAX_IDLE_PER_SERVER = 64
 
 Address = tuple[str, int]
 
 
 @dataclass(slots=True, eq=False)
 class Connection:
-    """One open connection and whom it leads to."""
+    """One open connection and the address that it is connected to."""
 
     address: Address
     http: HttpConnection
@@ -38,74 +38,74 @@
     reused: bool = field(default=False)
 
     async def close(self) -> None:
-        """Close it, also when the task is being cancelled."""
+        """Close the connection, even while the task is being cancelled."""
         with anyio.CancelScope(shield=True):
             await self.http.aclose()
 
 
 class ConnectionPool:
-    """Idle connections by address, the youngest reused first.
+    """Idle connections by address; the most recently used is reused first.
 
-    A connection that idles longer than ``idle_ms`` is closed and never reused: something
-    between the two ends may have forgotten it, and a request sent on it would wait for its
-    whole limit. Younger ones are checked for a close from the other end.
+    A connection idle for longer than ``max_idle_ms`` is closed and never reused: a device on
+    the way may have dropped it, and a request sent on it would wait for its whole timeout.
+    Others are checked for a close by the other end.
     """
 
-    def __init__(self, clock: Clock, *, connect_timeout_ms: int, idle_ms: int) -> None:
+    def __init__(self, clock: Clock, *, connect_timeout_ms: int, max_idle_ms: int) -> None:
         self._clock = clock
         self._connect_timeout_ms = connect_timeout_ms
-        self._idle_ms = idle_ms
+        self._max_idle_ms = max_idle_ms
         self._idle: dict[Address, deque[Connection]] = {}
         self.opened = 0
 
-    def idle(self, backend: BackendServer) -> int:
-        """Return how many connections to a backend server are idle."""
+    def idle_count(self, backend: BackendServer) -> int:
+        """Return the number of idle connections to a backend server."""
         return len(self._idle.get((backend.host, backend.port), ()))
 
-    async def take(self, backend: BackendServer, *, fresh: bool) -> Connection:
-        """Return a connection that nobody else uses.
+    async def acquire(self, backend: BackendServer, *, fresh: bool) -> Connection:
+        """Return a connection for exclusive use.
 
-        :param fresh: never reuse; for calls that may not be repeated, since the other end may
+        :param fresh: open a new one. For calls that aren't idempotent, since the other end may
             close an idle connection just as the call is sent, and whether it ran would then
-            be unknown; and after silence, since the idle ones may be as lost.
-        :raises GatewayError: ``BACKEND_REFUSED`` when it cannot be opened.
+            be unknown; and after a timeout, since the idle ones may be dead as well.
+        :raises GatewayError: ``BACKEND_REFUSED`` if it cannot be opened.
         """
         address = (backend.host, backend.port)
         if not fresh:
-            conn = await self._take_idle(address)
+            conn = await self._acquire_idle(address)
             if conn is not None:
                 return conn
         return await self._open(address, backend.name)
 
-    def give_back(self, conn: Connection) -> None:
-        """Keep a connection whose answer was read to its end."""
-        idle = self._idle.setdefault(conn.address, deque(maxlen=IDLE_PER_SERVER))
+    def release(self, conn: Connection) -> None:
+        """Keep a connection whose response was read to its end."""
+        idle = self._idle.setdefault(conn.address, deque(maxlen=MAX_IDLE_PER_SERVER))
         conn.idle_since_ms = self._clock.now()
         conn.reused = True
         idle.append(conn)
 
-    async def forget(self, backend: BackendServer) -> None:
-        """Close every idle connection to a backend server that fell silent on one."""
+    async def close_idle(self, backend: BackendServer) -> None:
+        """Close all idle connections to a backend server that timed out on another one."""
         for conn in self._idle.pop((backend.host, backend.port), ()):
             await conn.close()
 
     async def run(self) -> None:
-        """Close connections that idled for too long, until cancelled; then close all."""
+        """Close connections that are idle for too long, until cancelled; then close all."""
         try:
             while True:
-                await self._clock.sleep(REAP_EVERY_MS)
+                await self._clock.sleep(REAP_INTERVAL_MS)
                 await self._reap()
         finally:
             for idle in self._idle.values():
                 for conn in idle:
                     await conn.close()
 
-    async def _take_idle(self, address: Address) -> Connection | None:
+    async def _acquire_idle(self, address: Address) -> Connection | None:
         idle = self._idle.get(address)
-        oldest = self._clock.now() - self._idle_ms
+        min_idle_since_ms = self._clock.now() - self._max_idle_ms
         while idle:
             conn = idle.pop()
-            if conn.idle_since_ms >= oldest and not conn.http.has_expired():
+            if conn.idle_since_ms >= min_idle_since_ms and not conn.http.is_stale():
                 return conn
             await conn.close()
         return None
@@ -120,7 +120,7 @@
         return Connection(address, HttpConnection(stream), stream.socket)
 
     async def _reap(self) -> None:
-        oldest = self._clock.now() - self._idle_ms
+        min_idle_since_ms = self._clock.now() - self._max_idle_ms
         for idle in tuple(self._idle.values()):
-            while idle and idle[0].idle_since_ms < oldest:
+            while idle and idle[0].idle_since_ms < min_idle_since_ms:
                 await idle.popleft().close()
--- a/tests/steps/front/rig.py
+++ b/tests/steps/front/rig.py
@@ -5,7 +5,7 @@
 from contextlib import AsyncExitStack, aclosing
 
 import anyio
-from tests.steps.backends.rig import QUICK, FakeConfig
+from tests.steps.backends.rig import FAST_ENGINE, FakeConfig
 
 from hickorybeam.backends import BackendsService
 from hickorybeam.clock import SystemClock
@@ -39,7 +39,7 @@
 
 SECRET = "sk-family"
 OPERATOR = "sk-operator"
-LIMITS = FrontSettings(
+FRONT_SETTINGS = FrontSettings(
     operator_keys=(key_digest(OPERATOR),),
     max_body_bytes=20_000,
     max_header_bytes=4_000,
@@ -82,8 +82,8 @@
     name = MEMBERS
 
     def __init__(self):
-        self.me = vm("vm-1", "here", 8001)
-        self.fleet = [self.me, vm("vm-2", "here", 8002), vm("vm-3", "there", 8003)]
+        self.own_vm = vm("vm-1", "here", 8001)
+        self.fleet = [self.own_vm, vm("vm-2", "here", 8002), vm("vm-3", "there", 8003)]
         self.left = False
 
     def vms(self):
@@ -142,7 +142,7 @@
 class Rig:
     """One VM of region ``here``, an engine and a plain service."""
 
-    def __init__(self, limits=LIMITS):
+    def __init__(self, limits=FRONT_SETTINGS):
         self.limits = limits
         self.clock = SystemClock()
         self.counters = Counters()
@@ -150,7 +150,7 @@
     async def __aenter__(self):
         self.stack = await AsyncExitStack().__aenter__()
         enter = self.stack.enter_async_context
-        self.engine = await enter(engine.serve(models=("small",), shape=QUICK))
+        self.engine = await enter(engine.serve(models=("small",), shape=FAST_ENGINE))
         self.plain = await enter(plain.serve())
         cfg = Settings(
             vm=VmSettings(name="vm-1", region="here", data_centre="dc"),
